--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Caller.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Caller.java
@@ -6,16 +6,17 @@
 import java.util.Optional;
 
 /**
- * Who sent a request, as far as it says or is known.
+ * The sender of a request, as far as it is known.
  *
- * @param credential of the key that came with it
- * @param tenant whose key it is, once a router has looked it up; this is what servers are told
- * @param hasJustConnected whether its connection was made for this request, so that it had waited
- *     for one way more there and back when the request came
+ * @param credential credential of the API key sent with the request
+ * @param tenant tenant that the key belongs to, once a router has looked it up; servers are told
+ *     this name
+ * @param hasJustConnected whether the connection was opened for this request, so that the caller
+ *     had already waited one more round trip when the request arrived
  */
 public record Caller(
     Optional<Credential> credential, Optional<String> tenant, boolean hasJustConnected) {
-  /** Somebody without a key. */
+  /** A caller without an API key. */
   public static final Caller ANONYMOUS = new Caller(Optional.empty(), Optional.empty(), false);
 
   public Caller {
@@ -23,12 +24,12 @@
     requireNonNull(tenant, "tenant is null");
   }
 
-  /** Somebody with a key that has not been looked up. */
+  /** A caller whose API key, if any, has not been looked up. */
   public static Caller with(Optional<Credential> credential) {
     return new Caller(credential, Optional.empty(), false);
   }
 
-  /** The same caller, known to be of a tenant or of none. */
+  /** Returns a copy with the tenant that the API key belongs to, or with none. */
   Caller of(Optional<String> known) {
     return new Caller(credential, known, hasJustConnected);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/CrashGuard.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/CrashGuard.java
@@ -19,8 +19,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps requests from servers that have ended servers, and sends those of which that is not sure to
- * one server first. A request of which nothing is known passes without being looked at.
+ * Refuses requests that have crashed servers. A request that is only suspected of it is first sent
+ * to a single server as a canary. While no request is suspected, requests run without their key
+ * being computed.
  */
 final class CrashGuard {
   private static final String DETAIL = "servers that ran this request have ended";
@@ -31,12 +32,12 @@
   private final RandomGenerator random;
   private final Refusals refusals;
 
-  /** Runs a request that may run. */
+  /** Runs requests that the guard admits. */
   interface Runner {
     /**
-     * Runs it, or a canary of it.
+     * Runs a request or its canary.
      *
-     * @param mayHandOn whether other routers may gather for it
+     * @param mayHandOn whether parts may be delegated to other routers
      */
     ForwardHandle run(
         ForwardedRequest request,
@@ -49,7 +50,7 @@
   /**
    * Creates a guard.
    *
-   * @param hasServer whether a service has a server that can be used now
+   * @param hasServer whether a service has a usable server at the moment
    */
   CrashGuard(
       SuspectRequests suspects,
@@ -64,7 +65,7 @@
     this.refusals = refusals;
   }
 
-  /** Runs a request, tries it on one server first, or refuses it. */
+  /** Runs a request, runs a canary of it first, or refuses it. */
   ForwardHandle run(
       ForwardedRequest request,
       Route route,
@@ -87,7 +88,7 @@
     };
   }
 
-  /** A request on one server, and then as usual if that answers it. */
+  /** Runs a suspected request on one server, then as usual if that server answers. */
   private final class Canary implements ForwardHandle {
     private final ForwardedRequest request;
     private final Route route;
@@ -144,7 +145,7 @@
     }
   }
 
-  /** Of a search one shard is enough to see whether its server survives it. */
+  /** For a search, one shard is enough to see whether a server survives it. */
   private Route onOneServer(Route route) {
     Route once = route.withMaximumAttempts(1);
     return route.target() instanceof RouteTarget.AllShards search
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
@@ -28,16 +28,23 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
-/** Takes callers' requests and passes them on by the configuration in force at their arrival. */
+/**
+ * Forwards callers' requests to servers. Each request is routed by the configuration in force when
+ * it arrives.
+ */
 public final class ForwardCoordinator {
   /**
-   * The way there and back that a caller waits for its connection: 3 ms each way on the sites whose
-   * callers are farthest. Without it every answer that leaves when it is due comes too late to a
-   * caller that has just connected.
+   * The round trip that a caller spends on opening its connection: 3 ms each way at the sites with
+   * the most distant callers. If it were not deducted, every answer sent at its due time would
+   * reach a caller that has just connected too late.
    */
   private static final Duration CONNECT_WAY = Duration.ofMillis(6);
 
-  /** How long servers may hold connections of a process's last life, and the code is slow. */
+  /**
+   * How long after its start a process counts as recently started: until then servers may still
+   * hold connections of its previous incarnation, and its code is slow because it is not compiled
+   * yet.
+   */
   private static final Duration YOUNG = Duration.ofSeconds(8);
 
   private final ForwardOptions options;
@@ -69,8 +76,8 @@
   /**
    * Creates a coordinator without a configuration.
    *
-   * @param group the other routers
-   * @param viewAge how old this router's view of configuration and servers may be
+   * @param viewAge upper bound of the age of this router's view of configuration and servers; empty
+   *     before there is a view
    */
   public ForwardCoordinator(
       ForwardOptions options,
@@ -158,7 +165,7 @@
             shares::share);
   }
 
-  /** Takes a configuration; requests in progress keep theirs. */
+  /** Puts a configuration in force. Requests in progress keep the one they started with. */
   public void reconfigure(RoutingConfiguration updated) {
     configuration = Optional.of(updated);
     layout.reconfigure(updated);
@@ -178,49 +185,55 @@
     return !directory.usable(service, clock.nanoTime()).isEmpty();
   }
 
-  /** The requests under which servers have ended. */
+  /** Requests suspected of crashing the servers that ran them. */
   public SuspectRequests suspects() {
     return suspects;
   }
 
-  /** Starts what needs the other routers. */
+  /** Starts the exchange of suspected requests with the other routers. */
   public void start() {
     suspects.start();
   }
 
-  /** Takes a message of another router that is not about the routers themselves. */
+  /**
+   * Handles a message from another router about tenants or suspected requests. Membership messages
+   * are handled elsewhere.
+   */
   public void onPeerMessage(PeerMessage message) {
     limiter.onMessage(message);
     suspects.onMessage(message);
   }
 
-  /** Counts the use of tenants with the other routers. */
+  /** Enforces the rate limits of tenants together with the other routers. */
   public TenantLimiter tenantLimiter() {
     return limiter;
   }
 
-  /** Whether requests with keys are refused now, since this router's view is too old. */
+  /** Whether requests with API keys are refused because this router's view is too old. */
   public boolean isClosedToKeys() {
     return tenants.isClosed();
   }
 
-  /** The configuration and the servers are known: requests need not be held any more. */
+  /** Called when the configuration and the servers are known: submits the held requests. */
   public void onListed() {
     held.submitTo(this);
   }
 
-  /** The store does not answer, so that nobody knows when it will be read: nothing is held. */
+  /**
+   * Called when the store does not answer. It is not known when the store can be read, so all held
+   * requests are refused and no more are held.
+   */
   public void onStoreLost() {
     held.refuseAll();
   }
 
-  /** The code of the process is compiled: searches are no longer limited as after a start. */
+  /** Called when the code of the process is compiled: lifts the slow-start limit on searches. */
   public void onWarm() {
     admission.slowStart().end();
     admission.startWaiting();
   }
 
-  /** Takes other bounds of extra attempts; what was spent by the old ones is forgotten. */
+  /** Replaces the limits of hedges and retries. What was spent under the old ones is reset. */
   public void reconfigure(ExtraAttemptRules changed) {
     sender.budgets().reconfigure(changed);
   }
@@ -230,12 +243,12 @@
     return configuration;
   }
 
-  /** Requests without a final answer. */
+  /** Number of requests that have no final answer yet. */
   public int inProgress() {
     return inProgress;
   }
 
-  /** What this router is for searches, as far as it knows the configuration and the others. */
+  /** Role of this router in searches, by the configuration and the routers that it knows. */
   public SearchRole searchRole() {
     ImmutableSet<ImmutableList<String>> gathered = layout.gatheredGroups();
     if (gathered.isEmpty()) {
@@ -247,21 +260,21 @@
     return gathers ? SearchRole.GATHERS : SearchRole.HANDS_ON;
   }
 
-  /** Attempts that this router may have open at one server of a service. */
+  /** Maximum number of attempts that this router may have open at one server of a service. */
   public int connectionShare(String service) {
     return shares.share(service);
   }
 
-  /** This process, and perhaps all others with it, has just started. */
+  /** Whether this process has just started; all other routers may have started with it. */
   private boolean isYoung() {
     return clock.nanoTime() - startNanos < YOUNG.toNanos();
   }
 
   /**
-   * Passes a request on.
+   * Forwards a request.
    *
-   * @param sink told the final answer exactly once, unless the request is cancelled; perhaps before
-   *     this method returns
+   * @param sink receives the final answer exactly once, unless the request is cancelled; possibly
+   *     before this method returns
    */
   public ForwardHandle submit(
       ForwardedRequest request, Consumer<Either<QueryError, ForwardedAnswer>> sink) {
@@ -271,12 +284,12 @@
     }
     if (configuration.isEmpty()) {
       return refusals.refuse(
-          request, ErrorKind.NO_CONFIGURATION, "no configuration is known yet", sink);
+          request, ErrorKind.NO_CONFIGURATION, "no configuration has been loaded yet", sink);
     }
     Optional<Route> route = configuration.get().match(request.host(), request.target());
     if (route.isEmpty()) {
       return refusals.refuse(
-          request, ErrorKind.UNKNOWN_PATH, "no route has this host and path", sink);
+          request, ErrorKind.UNKNOWN_PATH, "no route matches the host and path", sink);
     }
     if (inProgress >= options.maximumRequests()) {
       return refusals.refuse(
@@ -285,7 +298,7 @@
     return tenants.admit(request, route.get(), new Admitted(request, sink));
   }
 
-  /** What follows the decision on a caller's key and its tenant's limit. */
+  /** Runs or refuses a request after the decision on its API key and its tenant's limit. */
   private final class Admitted implements TenantAdmission.Outcome {
     private final ForwardedRequest received;
     private final long receivedNanos = clock.nanoTime();
@@ -326,20 +339,23 @@
     waiting.refuse(
         (request, sink) ->
             refusals.refuse(
-                request, ErrorKind.NO_CONFIGURATION, "the store is not read yet", sink));
+                request, ErrorKind.NO_CONFIGURATION, "the store has not been read yet", sink));
   }
 
-  /** Takes a server's whole answer to an attempt. */
+  /** Handles the complete reply of a server to an attempt. */
   public void onReply(long attempt, ServerReply reply) {
     sender.onReply(attempt, reply);
   }
 
-  /** Takes the end of an attempt without an answer. */
+  /** Handles an attempt that ended without a reply. */
   public void onFailure(long attempt, ServerFailure failure) {
     sender.onFailure(attempt, failure);
   }
 
-  /** A server has ended, by the directory: what is open there gets no answer. */
+  /**
+   * Called when the directory reports that a server process has ended: attempts open there will get
+   * no reply.
+   */
   void onServerEnded(String serverId) {
     sender.onServerEnded(serverId);
   }
@@ -365,7 +381,10 @@
     return run(request, route, times, others, watch, firstTry, sink);
   }
 
-  /** How long ago the caller first asked, and what this router's own lateness is likely to cost. */
+  /**
+   * Time to deduct from the objective: the time since the caller's first try, the round trip of a
+   * new connection, and the expected delay of this router's own timers.
+   */
   private Duration spentBefore(ForwardedRequest request, Route route, RouteState state) {
     Duration before = request.timeLeft().map(state::spentBefore).orElse(Duration.ZERO);
     Duration connected = request.caller().hasJustConnected() ? CONNECT_WAY : Duration.ZERO;
@@ -416,20 +435,21 @@
   }
 
   /**
-   * Runs parts of a search for another router, or declines them. They are not handed on again.
+   * Runs parts of a search for another router, or declines them. They are not delegated again.
    *
-   * @param sink told once, unless the search is cancelled; perhaps before this method returns
+   * @param sink receives the reply once, unless the search is cancelled; possibly before this
+   *     method returns
    */
   public ForwardHandle submitDelegated(DelegatedSearch search, Consumer<DelegateReply> sink) {
     return delegatedSearches.submit(search, sink);
   }
 
-  /** Takes another router's reply about parts that were handed to it. */
+  /** Handles the reply of another router to parts that were delegated to it. */
   public void onDelegateReply(long number, DelegateReply reply) {
     delegator.onReply(number, reply);
   }
 
-  /** Takes the end of parts that were handed to another router, without a reply. */
+  /** Handles parts that were delegated to another router and ended without a reply. */
   public void onDelegateFailure(long number, DelegateFailure failure) {
     delegator.onFailure(number, failure);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardHandle.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardHandle.java
@@ -1,10 +1,10 @@
 package io.arrowarch.core.forward;
 
-/** A request in progress, for whoever submitted it. */
+/** A request in progress, as seen by its submitter. */
 public interface ForwardHandle {
-  /** The caller has gone; no answer is given any more. No effect once there is one. */
+  /** Cancels the request: no answer is delivered. Has no effect after an answer. */
   void cancel();
 
-  /** Of a request that has its answer already. */
+  /** Handle of a request that already has its answer. */
   ForwardHandle NONE = () -> {};
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardOptions.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardOptions.java
@@ -7,19 +7,19 @@
 import java.time.Duration;
 
 /**
- * What the owner of a coordinator sets.
+ * Options of a {@link ForwardCoordinator}.
  *
- * @param id of the router
- * @param zone where the router runs
- * @param cores how much processor the router has, in cores
- * @param maximumRequests requests in progress above which new ones are refused
- * @param extraAttempts bounds of hedges and retries over all routers
- * @param defaultTimeLeft how long a caller is taken to wait that does not say it
- * @param store within what time the store must be followed
- * @param coldServers bounds of what cold servers get from all routers together
- * @param regions the region of each zone
- * @param tenants what binds requests of tenants
- * @param without mechanisms that are left out, for experiments only
+ * @param id id of the router
+ * @param zone zone that the router runs in
+ * @param cores processor capacity of the router, in cores
+ * @param maximumRequests number of requests in progress from which new ones are refused
+ * @param extraAttempts limits of hedges and retries over all routers together
+ * @param defaultTimeLeft time left assumed for a caller that does not state it
+ * @param store time limits for following the store
+ * @param coldServers limits of the load on cold servers from all routers together
+ * @param regions region of each zone
+ * @param tenants rules for requests of tenants
+ * @param without mechanisms that are disabled, for experiments only
  */
 public record ForwardOptions(
     String id,
@@ -34,12 +34,12 @@
     TenantRules tenants,
     ImmutableSet<Mechanism> without) {
 
-  /** Whether a zone is one in which the servers of a route may be. */
+  /** Whether a route that is restricted to regions may use servers of a zone. */
   boolean allows(ImmutableSet<String> routeRegions, String serverZone) {
     return routeRegions.isEmpty() || routeRegions.contains(regions.get(serverZone));
   }
 
-  /** Whether a mechanism is in use. */
+  /** Whether a mechanism is enabled. */
   public boolean has(Mechanism mechanism) {
     return !without.contains(mechanism);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardedAnswer.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardedAnswer.java
@@ -2,17 +2,17 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** A success, or a failure that is a server's own. */
+/** The answer to a forwarded request: a success, or an error that a server itself returned. */
 public sealed interface ForwardedAnswer {
-  /** One server's answer, passed on as it came. */
+  /** The answer of one server, forwarded unchanged. */
   record FromServer(ServerReply reply) implements ForwardedAnswer {}
 
   /**
    * The merged answer of a search.
    *
-   * @param signatures of the parts that it is drawn from
-   * @param missingParts shards that are not in it
-   * @param records the greatest records, greatest first
+   * @param signatures signatures of the parts that were merged
+   * @param missingParts number of shards that are not included
+   * @param records the greatest records, in descending order
    */
   record Merged(ImmutableList<String> signatures, int missingParts, Payload records)
       implements ForwardedAnswer {}
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardedRequest.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardedRequest.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * A caller's request, passed on as it came.
+ * A caller's request, forwarded unchanged.
  *
- * @param id the caller's own id of this request
- * @param timeLeft how long the caller will wait, from receipt
+ * @param id the id that the caller gave the request
+ * @param timeLeft how long the caller will wait, counted from receipt
  * @param host value of the Host header
  * @param target path and query, byte for byte
- * @param caller who sent it; its key is not among the headers
- * @param headers those that travel along
+ * @param caller sender of the request; its API key is not among the headers
+ * @param headers headers that are forwarded
  */
 public record ForwardedRequest(
     String id,
@@ -36,19 +36,19 @@
     requireNonNull(body, "body is null");
   }
 
-  /** The same request when its caller has waited for a while. */
+  /** Returns a copy with the time that the caller has waited deducted from its time left. */
   ForwardedRequest after(Duration waited) {
     return new ForwardedRequest(
         id, timeLeft.map(left -> left.minus(waited)), method, host, target, caller, headers, body);
   }
 
-  /** The same request as the first on its connection. */
+  /** Returns a copy marked as the first request on its connection. */
   public ForwardedRequest onNewConnection() {
     return new ForwardedRequest(
         id, timeLeft, method, host, target, caller.onNewConnection(), headers, body);
   }
 
-  /** The same request of a tenant, or of none. */
+  /** Returns a copy with a tenant, or with none. */
   ForwardedRequest of(Optional<String> tenant) {
     return new ForwardedRequest(
         id, timeLeft, method, host, target, caller.of(tenant), headers, body);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/HeldRequest.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/HeldRequest.java
@@ -6,7 +6,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** A request that came before the store was read. */
+/** A request that arrived before the store was read and waits for it. */
 final class HeldRequest {
   private final ForwardedRequest request;
   private final long sinceNanos;
@@ -22,7 +22,7 @@
     this.sink = sink;
   }
 
-  /** Submits it with the time that its caller has left now. */
+  /** Submits the request, with the time waited deducted from the caller's time left. */
   void submitTo(ForwardCoordinator coordinator, long nowNanos) {
     Duration waited = Duration.ofNanos(nowNanos - sinceNanos);
     handle = coordinator.submit(request.after(waited), sink);
@@ -32,7 +32,7 @@
     refusal.accept(request, sink);
   }
 
-  /** Cancels it if it was submitted. */
+  /** Cancels the request if it has been submitted. */
   void cancel() {
     handle.cancel();
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/HeldRequests.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/HeldRequests.java
@@ -10,12 +10,12 @@
 import java.util.function.Consumer;
 
 /**
- * Requests that came before the store was read. A process that has just started will know the
- * configuration and the servers in a moment, and a caller that was cut off by its end may not be
- * able to ask once more.
+ * Requests that arrived before the store was read. A process that has just started will soon know
+ * the configuration and the servers. A caller whose connection broke when the previous process
+ * ended may have no further retry, so its request is held rather than refused.
  */
 final class HeldRequests {
-  /** How long after the start requests are held. */
+  /** How long after the start of the process requests are held. */
   private static final Duration LONGEST_HOLD = Duration.ofMillis(1_500);
 
   private static final double HOLD_FRACTION = 0.3;
@@ -31,8 +31,8 @@
   /**
    * Creates an empty queue.
    *
-   * @param maximum requests that are held at most
-   * @param refusal refuses a request that has waited for too long
+   * @param maximum maximum number of requests held at the same time
+   * @param refusal refuses a request that has waited too long, or that can no longer be held
    */
   HeldRequests(RouterClock clock, TimerQueue timers, int maximum, Consumer<HeldRequest> refusal) {
     this.clock = clock;
@@ -42,7 +42,7 @@
     this.refusal = refusal;
   }
 
-  /** Whether a request that comes now is held. */
+  /** Whether a request that arrives now is held. */
   boolean mayHold() {
     return holds && held.size() < maximum && clock.nanoTime() < endNanos;
   }
@@ -67,7 +67,7 @@
     };
   }
 
-  /** The store is read: what is held is submitted, the newest first. */
+  /** Called when the store has been read: submits all held requests, the newest first. */
   void submitTo(ForwardCoordinator coordinator) {
     holds = false;
     while (!held.isEmpty()) {
@@ -75,7 +75,9 @@
     }
   }
 
-  /** Nobody knows when the store will be read: nothing is held any more. */
+  /**
+   * Refuses all held requests and holds no more, since it is not known when the store can be read.
+   */
   void refuseAll() {
     holds = false;
     while (!held.isEmpty()) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Refusals.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Refusals.java
@@ -13,7 +13,7 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
-/** Refuses requests of which nothing has been sent: they have not run. */
+/** Refuses requests before any attempt is sent, so that they have certainly not been executed. */
 final class Refusals {
   private static final Duration BASE_RETRY_AFTER = Duration.ofMillis(150);
 
@@ -28,8 +28,9 @@
   /**
    * Creates refusals.
    *
-   * @param version of the configuration in force; 0 without one
-   * @param viewAge how old the router's view of the store may be
+   * @param version version of the configuration in force; 0 if there is none
+   * @param viewAge upper bound of the age of the router's view of the store; empty before there is
+   *     a view
    */
   Refusals(
       LongSupplier version,
@@ -42,7 +43,7 @@
     this.events = events;
   }
 
-  /** Refuses a request whose caller may come back after the usual time, if at all. */
+  /** Refuses a request. If it is retryable, the caller is told the default delay before a retry. */
   ForwardHandle refuse(
       ForwardedRequest request,
       ErrorKind kind,
@@ -54,7 +55,8 @@
   /**
    * Refuses a request.
    *
-   * @param retryAfter when its caller should come back; empty: after the usual time, if at all
+   * @param retryAfter when the caller should retry; if empty, after the default delay. Ignored for
+   *     errors that are not retryable.
    */
   ForwardHandle refuse(
       ForwardedRequest request,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestWatch.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestWatch.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * Whether attempts of one request may still be sent, and what the ends of its attempts say about
- * the request itself.
+ * Decides whether attempts of one request may still be sent, and reports to {@link SuspectRequests}
+ * whether its attempts were answered or broke their connections.
  */
 final class RequestWatch {
   private final SuspectRequests suspects;
@@ -25,18 +25,18 @@
     this.canary = canary;
   }
 
-  /** Of a request that runs as usual. */
+  /** For a request that runs as usual. */
   static RequestWatch of(SuspectRequests suspects, ForwardedRequest request, RunPermit permit) {
     return new RequestWatch(suspects, request, permit, false);
   }
 
-  /** Of a request that is tried on one server, since it may end it. */
+  /** For the canary of a suspected request, which runs on one server only. */
   static RequestWatch ofCanary(
       SuspectRequests suspects, ForwardedRequest request, RunPermit permit) {
     return new RequestWatch(suspects, request, permit, true);
   }
 
-  /** Of a request that a server has just run to an answer. */
+  /** For a request that a server has just answered. */
   static RequestWatch ofAnswered(
       SuspectRequests suspects, ForwardedRequest request, RunPermit permit) {
     RequestWatch watch = new RequestWatch(suspects, request, permit, false);
@@ -44,17 +44,20 @@
     return watch;
   }
 
-  /** Asked at the moment of sending: knowledge grows while a request waits. */
+  /**
+   * Whether an attempt may be sent. To be called right before each one, since the request may have
+   * become suspected or its permit invalid while it waited.
+   */
   boolean mayRun() {
     return permit.holds() && !isSuspected();
   }
 
-  /** Whether only the request itself is in the way, which an answer of any part would change. */
+  /** Whether suspicion alone keeps the request from running; an answer to any part clears it. */
   boolean mayBeCleared() {
     return permit.holds() && isSuspected();
   }
 
-  /** Whether it may end the server that it is sent to next. */
+  /** Whether the request might crash the next server that it is sent to. */
   boolean isSuspected() {
     if (answered || suspects.isEmpty()) {
       return false;
@@ -63,12 +66,15 @@
     return canary ? standing == Standing.QUARANTINED : standing != Standing.FREE;
   }
 
-  /** Whether a server has run it to an answer. */
+  /** Whether a server has answered the request. */
   boolean isAnswered() {
     return answered;
   }
 
-  /** A server has run it to an answer, good or not: it is not what ends servers. */
+  /**
+   * Called when a server has answered, with a success or an error: the request does not crash
+   * servers.
+   */
   void onAnswered() {
     answered = true;
     if (!suspects.isEmpty()) {
@@ -76,14 +82,20 @@
     }
   }
 
-  /** A connection broke while the request was open there: the server may have ended under it. */
+  /**
+   * Called when a connection broke while the request was open there: it may have crashed the
+   * server.
+   */
   void onConnectionBroken(String server) {
     if (!answered) {
       suspects.onServerEnded(key(), server, canary);
     }
   }
 
-  /** By what it is known again; hashed when it is first needed, which is for hardly any request. */
+  /**
+   * Key that identifies resubmissions of the request. Computed on first use, since few requests
+   * need it.
+   */
   RequestKey key() {
     if (key.isEmpty()) {
       key = Optional.of(keyOf(request));
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouteState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouteState.java
@@ -7,19 +7,22 @@
 import java.util.random.RandomGenerator;
 import org.HdrHistogram.Histogram;
 
-/** What a router keeps of one route over its requests and versions. */
+/** State of one route that a router keeps across requests and configuration versions. */
 final class RouteState {
   private static final double TYPICAL = 0.5;
 
-  /** Slower answers than this part of all get a second attempt. */
+  /** An attempt that takes longer than this quantile of latencies is hedged. */
   private static final double HEDGE_QUANTILE = 0.9;
 
-  /** With many slow servers the quantile is theirs; no delay is longer than this many medians. */
+  /**
+   * Upper bound of the hedge delay, in medians. If many servers are slow, the quantile is one of
+   * their latencies and would delay hedges too long.
+   */
   private static final double HEDGE_MEDIANS = 2;
 
   private static final long MINIMUM_HEDGE_NANOS = 4_000_000;
 
-  /** Until latencies are known, an answer is expected after this part of the objective. */
+  /** Until latencies are known, an attempt is expected to take the objective divided by this. */
   private static final int EXPECTED_PARTS = 6;
 
   private static final int HEDGE_PARTS = 3;
@@ -27,10 +30,13 @@
   private static final int SIGNIFICANT_DIGITS = 3;
   private static final double MEDIAN_PERCENTILE = 50;
 
-  /** Less than this part of the usual time left is put down to the way. */
+  /**
+   * Differences from the usual time left below this fraction of it are attributed to network delay,
+   * not to earlier tries.
+   */
   private static final double WAY_FRACTION = 0.02;
 
-  /** With fewer requests nothing is known of the time that a first try has. */
+  /** With fewer requests the time left of a first try cannot be estimated. */
   private static final int MINIMUM_TIMES_LEFT = 3;
 
   private final LatencyTracker latencies = new LatencyTracker();
@@ -47,12 +53,12 @@
     return latencies;
   }
 
-  /** The usual length of an attempt. */
+  /** Median duration of an attempt. */
   long expectedNanos(Route route) {
     return latencies.quantileNanos(TYPICAL, route.objective().toNanos() / EXPECTED_PARTS);
   }
 
-  /** How long an attempt may be open before a second one starts. */
+  /** How long an attempt may be open before a hedge is sent. */
   long hedgeDelayNanos(Route route) {
     long fallback = route.objective().toNanos() / HEDGE_PARTS;
     long slow = latencies.quantileNanos(HEDGE_QUANTILE, fallback);
@@ -60,7 +66,7 @@
     return Math.max(MINIMUM_HEDGE_NANOS, Math.min(slow, bound));
   }
 
-  /** The service that the next request of a weighted route goes to. */
+  /** Picks the service for the next request of a weighted route. */
   String nextService(RouteTarget.OneServer target) {
     if (rotation == null || !rotation.services().equals(target.services())) {
       rotation = new WeightedRotation(target.services(), random);
@@ -69,8 +75,8 @@
   }
 
   /**
-   * How long ago the caller first asked. Most requests of a route are first tries with the same
-   * time left; one that has less left has been tried before.
+   * Estimates how long ago the caller sent its first try, and records the time left. Most requests
+   * of a route are first tries with the same time left, so one with less has been tried before.
    */
   Duration spentBefore(Duration timeLeft) {
     long millis = Math.min(LONGEST_TIME_LEFT_MILLIS, Math.max(1, timeLeft.toMillis()));
@@ -80,7 +86,10 @@
     return spent > WAY_FRACTION * usual ? Duration.ofMillis(spent) : Duration.ZERO;
   }
 
-  /** Whether the caller has as much time left as any; false while too little is known. */
+  /**
+   * Whether the request is probably a first try: its caller has about as much time left as any
+   * caller of the route so far. False while there are too few requests to tell.
+   */
   boolean isFirstTry(Duration timeLeft) {
     return timesLeftMillis.getTotalCount() >= MINIMUM_TIMES_LEFT
         && timeLeft.toMillis() >= (1 - WAY_FRACTION) * timesLeftMillis.getMaxValue();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RunPermit.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RunPermit.java
@@ -2,9 +2,12 @@
 
 /** Whether attempts of a request may still be sent. */
 interface RunPermit {
-  /** Of a request that needs no key. */
+  /** For a request that needs no API key. */
   RunPermit ALWAYS = () -> true;
 
-  /** Asked at the moment of sending: knowledge grows old while a request waits. */
+  /**
+   * Whether an attempt may be sent. To be called right before each one, since the router's view may
+   * become too old while the request waits.
+   */
   boolean holds();
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchAdmission.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchAdmission.java
@@ -7,15 +7,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Starts searches within the limit of a {@link SlowStart}; the others wait in a {@link FairQueue}.
- * A caller that has not asked before is told within a quarter of its objective to come back; one
- * that has, and perhaps cannot again, waits for up to half of its time.
+ * Starts searches within the limit of a {@link SlowStart}; further ones wait in a {@link
+ * FairQueue}. A first try is refused within a quarter of its objective, in time for a retry. A
+ * later try may be the caller's last, so it waits for up to half of its time left.
  */
 final class SearchAdmission {
   private static final double REFUSAL_FRACTION = 0.2;
   private static final double LONGEST_WAIT_FRACTION = 0.5;
 
-  /** Callers come back after a third of the time that they have left at most. */
+  /** Upper bound of the retry delay, as a fraction of the caller's time left. */
   private static final double LONGEST_RETRY_AFTER_FRACTION = 1.0 / 3;
 
   private static final double SPREAD = 0.3;
@@ -29,7 +29,7 @@
   /**
    * Creates an admission.
    *
-   * @param limited whether there is a limit at first
+   * @param limited whether the slow-start limit applies
    */
   SearchAdmission(RouterClock clock, TimerQueue timers, RandomGenerator random, boolean limited) {
     this.slowStart = new SlowStart(clock.nanoTime());
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Starts a search, or lets it wait.
+   * Starts a search or queues it.
    *
-   * @param firstTry whether its caller has not asked before, as far as is known
+   * @param firstTry whether this is probably the caller's first try of the request
    */
   void admit(ForwardExecution search, boolean firstTry) {
     if (slowStart.admits(clock.nanoTime())) {
@@ -60,20 +60,20 @@
     timers.schedule(clock.nanoTime() + wait, () -> refuse(search));
   }
 
-  /** Takes the end of a search that was started. */
+  /** Called when a search that was started ends: frees its place and starts waiting searches. */
   void onEnded(ForwardExecution search) {
     slowStart.onEnded(search.isInTime());
     startWaiting();
   }
 
-  /** Starts what the limit allows, in the order of {@link FairQueue}. */
+  /** Starts as many waiting searches as the limit allows, in the order of {@link FairQueue}. */
   void startWaiting() {
     while (!waiting.isEmpty() && slowStart.admits(clock.nanoTime())) {
       waiting.poll().ifPresent(this::start);
     }
   }
 
-  /** Takes the end of a search that may still wait; returns whether it did. */
+  /** Removes a search that ended before it was started; returns whether it was waiting. */
   boolean forget(ForwardExecution search) {
     return waiting.remove(search);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/SlowStart.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/SlowStart.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * How many searches a process that has just started works on at a time. Its code is not compiled
- * yet, so that many searches at once would all be late; a few are in time and make the next ones
- * faster. The limit grows by one for each search that is in time, and goes after a while in any
- * case.
+ * Limits the number of concurrent searches in a process that has just started. Its code is not
+ * compiled yet, so many concurrent searches would all be late; a few are in time, and running them
+ * gets the code compiled for the next ones. The limit grows by one for each search that ends in
+ * time, and is lifted after a fixed period in any case.
  */
 final class SlowStart {
   private static final Duration LONGEST = Duration.ofMillis(3_500);
@@ -21,7 +21,7 @@
     this.endNanos = startNanos + LONGEST.toNanos();
   }
 
-  /** The code is compiled: there is no limit any more. */
+  /** Lifts the limit, since the code is compiled. */
   void end() {
     over = true;
   }
@@ -35,7 +35,7 @@
     return over;
   }
 
-  /** How much longer there is a limit at most. */
+  /** Upper bound of the time until the limit is lifted. */
   Duration left(long nowNanos) {
     return isOver(nowNanos) ? Duration.ZERO : Duration.ofNanos(endNanos - nowNanos);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/TenantAdmission.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/TenantAdmission.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** Lets requests in by their keys and within their tenants' limits. */
+/** Admits requests by their API keys and within the rate limits of their tenants. */
 final class TenantAdmission {
   private static final double NANOS_PER_MILLI = 1e6;
 
@@ -25,27 +25,32 @@
   private final EventLog events;
   private boolean closed;
 
-  /** What follows for a request. */
+  /** Receives the decision on a request. */
   interface Outcome {
     /**
-     * It may run.
+     * The request may run.
      *
-     * @param request with its tenant
-     * @param route with the tenant's priority
-     * @param tenant whose limit has paid for it, if any
+     * @param request the request, with its tenant set
+     * @param route the route, with the tenant's priority
+     * @param permit whether attempts may still be sent
+     * @param tenant the tenant whose limit the request was counted against, if any
      */
     ForwardHandle run(
         ForwardedRequest request, Route route, RunPermit permit, Optional<Tenant> tenant);
 
-    /** It is refused and has not run; without a time to come back the usual one is told. */
+    /**
+     * The request is refused and has not been executed. Without {@code retryAfter} the caller is
+     * told the default delay.
+     */
     void refuse(ErrorKind kind, String detail, Optional<Duration> retryAfter);
   }
 
   /**
    * Creates an admission.
    *
-   * @param tenants of the configuration in force
-   * @param viewAge how old this router's view of them may be
+   * @param tenants tenants of the configuration in force
+   * @param viewAge upper bound of the age of this router's view of them; empty before there is a
+   *     view
    */
   TenantAdmission(
       Authenticator authenticator,
@@ -60,12 +65,15 @@
     this.events = events;
   }
 
-  /** Whether requests with keys are refused now, since this router's view is too old. */
+  /** Whether requests with API keys are refused because this router's view is too old. */
   boolean isClosed() {
     return authenticator.isClosed(tenants.get());
   }
 
-  /** Decides on a request; perhaps after the router that counts its tenant has been asked. */
+  /**
+   * Decides on a request, at once or after asking the router that counts the requests of its
+   * tenant.
+   */
   ForwardHandle admit(ForwardedRequest request, Route route, Outcome outcome) {
     noteView();
     Optional<Credential> credential = request.caller().credential();
@@ -87,8 +95,9 @@
   }
 
   /**
-   * Whether a search that another router hands on may run here: by this router's own view the key
-   * must be the tenant's. Its unit of the limit was paid there.
+   * The permit for a search that another router delegates to this one; empty if the search may not
+   * run here. By this router's own view, its API key must belong to the tenant that it states. The
+   * delegating router has already counted it against the tenant's limit.
    */
   Optional<RunPermit> permitOf(ForwardedRequest request, Route route) {
     Optional<Credential> credential = request.caller().credential();
@@ -104,7 +113,7 @@
     return Optional.empty();
   }
 
-  /** A route with the priority of a request's tenant, where that has one. */
+  /** Returns the route with the priority of the request's tenant, if that tenant has one. */
   Route rank(Route route, ForwardedRequest request) {
     return request
         .caller()
@@ -115,7 +124,10 @@
         .orElse(route);
   }
 
-  /** A request that was let in has not run and will not. */
+  /**
+   * Returns the unit of the limit that an admitted request took; it was not executed and will not
+   * be.
+   */
   void giveBack(Tenant tenant) {
     limiter.giveBack(tenant);
   }
@@ -143,7 +155,7 @@
     }
   }
 
-  /** A request that may wait for the word of the router that counts its tenant. */
+  /** A request that may be waiting for the decision of the router that counts its tenant. */
   private final class Acquisition implements ForwardHandle {
     private final ForwardedRequest request;
     private final Route route;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/TimerLateness.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/TimerLateness.java
@@ -3,30 +3,32 @@
 import java.time.Duration;
 
 /**
- * How much later than due this router acts, as its last timers showed. A request waits about as
- * long unread before it is known to have come, so that both are kept back from its objective: an
- * answer that is late is worth a tenth, one that is a little early lacks a part or two.
+ * Measures how late the timers of this router run, and how much of a request's objective to reserve
+ * for that. A request waits unread for about as long before the router sees it, so the delay is
+ * reserved twice. A late answer is worth only a tenth of one in time, whereas an answer sent a
+ * little early lacks only a part or two.
  *
- * <p>Load pattern: small machines whose processor is shared or used up for a while.
+ * <p>It matters on small machines whose processor is shared or temporarily exhausted.
  */
 final class TimerLateness {
-  /** Unread before and late after. */
+  /** The request waits unread before it is seen, and its timer runs late. */
   private static final int TIMES = 2;
 
-  /** More of an objective is not kept back. */
+  /** Maximum fraction of an objective to reserve. */
   private static final double MOST = 0.15;
 
   private long lastNanos;
   private long previousNanos;
 
-  /** Takes how late a timer ran. */
+  /** Records how late a timer ran. */
   void record(long nanos) {
     previousNanos = lastNanos;
     lastNanos = Math.max(0, nanos);
   }
 
   /**
-   * What to keep back of an objective: after the shorter of the last two, since one may be chance.
+   * How much of an objective to reserve. Uses the shorter of the last two delays, since a single
+   * long one may be chance.
    */
   long nanos(Duration objective) {
     long most = (long) (MOST * objective.toNanos());
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/WeightedRotation.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/WeightedRotation.java
@@ -5,9 +5,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Deals requests to services in proportion to their weights, as evenly as whole requests allow:
- * each turn every service earns its weight, and the richest pays for the request. The start is
- * random, so that routers do not deal in step.
+ * Smooth weighted round-robin over services. In each turn every service gains credit equal to its
+ * weight; the one with the most credit gets the request and is charged the total weight. The
+ * initial credits are random, so that routers do not pick the same services in step.
  */
 final class WeightedRotation {
   private final List<WeightedService> services;
