--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashFleet.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashFleet.java
@@ -20,9 +20,9 @@
 import java.util.Set;
 
 /**
- * Routers in virtual time in front of the same servers, some of which a request may end. A server
- * answers after some milliseconds; one that has ended takes all that is open there with it, refuses
- * connections, and is back under another id after two seconds.
+ * Simulates, in virtual time, several routers in front of the same servers, which certain requests
+ * crash. A server answers after 20 ms. A crashed server breaks all its open attempts, refuses
+ * connections, and is replaced by one with another id after two seconds.
  */
 final class CrashFleet {
   static final String CRASHING = "/crash";
@@ -35,10 +35,10 @@
   final FakeClock clock = new FakeClock();
   final List<Router> routers = new ArrayList<>();
 
-  /** When each server ended under a request, by the request's path. */
+  /** When servers crashed while running a request, by the request's path. */
   final Map<String, List<Long>> endsNanos = new HashMap<>();
 
-  /** When requests reached servers, by path: one entry for a request of a caller. */
+  /** When requests first reached a server, by path; one entry per caller's request. */
   final Map<String, List<Long>> reachedNanos = new HashMap<>();
 
   private final TimerQueue world = new TimerQueue();
@@ -62,11 +62,11 @@
       addServer(service(shard));
     }
     routers.forEach(Router::start);
-    // Past the first window of budgets.
+    // Skips the first window of the attempt budgets.
     advance(Duration.ofSeconds(11));
   }
 
-  /** A process that runs requests. */
+  /** A server process. */
   private static final class Server {
     final String service;
     final Map<ServerAttempt, Router> open = new HashMap<>();
@@ -77,7 +77,6 @@
     }
   }
 
-  /** One router. */
   final class Router implements RouterGroup, PeerGroup {
     final int number;
     boolean dead;
@@ -90,7 +89,7 @@
       this.number = number;
     }
 
-    /** Starts the process, which knows nothing but the servers. */
+    /** Starts the process. It knows the servers but no suspected requests. */
     void start() {
       dead = false;
       life++;
@@ -115,12 +114,12 @@
       servers.values().forEach(server -> server.open.values().removeIf(by -> by == this));
     }
 
-    /** The last answer or error that a caller got here. */
+    /** The last answer or error returned by this router. */
     Either<QueryError, ForwardedAnswer> lastOutcome() {
       return core.outcomes.get(core.outcomes.size() - 1);
     }
 
-    /** Sends a request of a caller. */
+    /** Submits a request as a caller. */
     void ask(String path) {
       core.submit("request-" + nextRequest++, path, ForwardFixture.TIMEOUT);
     }
@@ -197,7 +196,7 @@
     }
   }
 
-  /** Ends servers that no request has ended, as a rack that loses power does. */
+  /** Crashes random servers independently of requests, as when a rack loses power. */
   void endServers(int count) {
     List<String> running =
         new ArrayList<>(
@@ -207,7 +206,10 @@
     }
   }
 
-  /** How often a request's comings reached servers later than a bound after the third end. */
+  /**
+   * Number of requests to a path that reached a server later than {@link #CONTACT} after the third
+   * crash.
+   */
   long comingsAfterThirdEnd(String path) {
     List<Long> ends = endsNanos.getOrDefault(path, List.of());
     if (ends.size() < 3) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashGuardTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashGuardTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What becomes of a request under which servers end, at one router. */
+/** How one router handles a request that crashes the servers running it. */
 public final class CrashGuardTest {
   private static final Duration PAST_CANARY_TIME = Duration.ofSeconds(3);
   private static final Duration PAST_HOLD = Duration.ofMinutes(11);
@@ -31,7 +31,7 @@
     router.submit();
     breakAll();
 
-    // Four at first, and two more before the third had ended.
+    // One attempt per shard, and two retries before the third crash.
     assertThat(router.sent).hasSize(6);
     assertThat(router.error(0).kind()).isEqualTo(ErrorKind.ENDS_SERVERS);
     assertThat(router.error(0).executed()).isEqualTo(Executed.UNKNOWN);
@@ -206,7 +206,7 @@
     assertThat(router.passedOn(3).isGood()).isTrue();
   }
 
-  /** Lets three and more servers end under the request, none of which answers. */
+  /** Makes the request suspected: at least three servers crash under it and none answers. */
   private void suspect() {
     router.submit();
     breakAll();
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashingRequestProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashingRequestProperties.java
@@ -10,14 +10,14 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Requests that end servers come at random routers, beside racks that lose power under load,
- * routers that are killed and start anew, and messages that are lost.
+ * Crashing requests arrive at random routers while racks lose power under load, routers are killed
+ * and restarted, and messages between routers are lost.
  */
 class CrashingRequestProperties {
   private static final int STEPS = 60;
   private static final String SOUND = "/sound";
 
-  /** Canaries that routers start before they have heard of each other's. */
+  /** Routers may start canaries before they learn of each other's. */
   private static final int MOST_LATE_COMINGS = 3;
 
   @Property(tries = 40, seed = "36")
@@ -43,7 +43,7 @@
       } else if (chance < 5 && killed >= 0) {
         fleet.routers.get(killed).start();
         killed = -1;
-        // A router that has just started is not in touch.
+        // A restarted router first has to learn of the suspected requests.
         fleet.advance(CrashFleet.CONTACT);
       }
       fleet.advance(Duration.ofMillis(20 + random.nextInt(800)));
@@ -66,7 +66,7 @@
     fleet.advance(Duration.ofMillis(random.nextInt(5_000)));
     boolean answered = false;
     for (int coming = 0; coming < 6 * size && !answered; coming++) {
-      // After a while one of the routers decides, and callers come there too.
+      // Later only one of the routers runs canaries; submitting to each in turn reaches it too.
       CrashFleet.Router router = fleet.routers.get(coming % size);
       router.ask(SOUND);
       fleet.advance(Duration.ofMillis(500));
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashingRequestTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashingRequestTest.java
@@ -6,16 +6,14 @@
 import org.testng.annotations.Test;
 
 /**
- * A search ended every server that ran it. Its caller sent it again and again, each time to another
- * router, and each router sent it to all shards as if it had never been seen; so all servers of the
- * service ended again as soon as they were back, and nobody else's search was answered for twelve
- * seconds at a time.
+ * Guards against a search that crashes every server that runs it. Its caller resubmits it, each
+ * time to another router, and each router sends it to all shards as if it were new. All servers
+ * then crash again as soon as they have restarted, and no other search is answered for up to twelve
+ * seconds: 40 of 40 servers fell silent within one second under normal load, with 1,957 attempts
+ * {@code unreachable} and 285 searches {@code coverage-too-low}.
  *
- * <p>Nothing on the way of a request knew it again: what a router learnt from a broken connection
- * was about the server, never about the request, and no router told another. The alerts showed it:
- * 40 servers of 40 silent within one second under usual load ({@code servers silent: 11 s 40, 14 s
- * 15, 16 s 18, 20 s 35}), and in the routers' logs 1,957 attempts {@code unreachable} and 285
- * searches {@code coverage-too-low} for a load that had been answered whole a second before.
+ * <p>It comes about if routers attribute a broken connection to the server only and not to the
+ * request, and do not report suspected requests to each other.
  */
 public final class CrashingRequestTest {
   private static final Duration BETWEEN_COMINGS = Duration.ofMillis(700);
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/KeysTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/KeysTest.java
@@ -15,7 +15,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Keys and limits of tenants on the way of a request; withdrawals bind after three seconds. */
+/**
+ * API keys and tenant limits while a request is admitted, retried, hedged and delegated. A
+ * revocation takes effect within three seconds, so a router whose view is that old refuses requests
+ * with keys.
+ */
 public final class KeysTest {
   private static final long FIRST = 1;
   private static final Duration OLD = Duration.ofSeconds(3);
@@ -182,7 +186,7 @@
     }
     long refused = router.outcomes.stream().filter(Either::isLeft).count();
 
-    // The burst and the requests of one second.
+    // Three requests pass: the burst of two and one second at one request per second.
     assertThat(router.sent).extracting(attempt -> attempt.request().id()).contains("request-3");
     assertThat(router.sent)
         .extracting(attempt -> attempt.request().id())
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ReadinessTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ReadinessTest.java
@@ -26,7 +26,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Whether a router whose view is too old for keys wants new connections; three seconds are. */
+/**
+ * Readiness of a router whose view is too old to accept API keys, which it is after three seconds.
+ * It stays ready while it hears other routers, since their views are no fresher.
+ */
 public final class ReadinessTest {
   private static final NearbyRouter OTHER = new NearbyRouter("other", 1, "zone-a", "10.0.0.2:1", 1);
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RefusalsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RefusalsTest.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** What the log tells of a request that was refused before it ran. */
+/** The log event of a request that was refused before it ran. */
 public final class RefusalsTest {
   private static final ForwardedRequest REQUEST =
       new ForwardedRequest(
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ServerRestrictionsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ServerRestrictionsTest.java
@@ -9,7 +9,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Servers that a request must not reach: of other regions, of evacuated zones, cold ones. */
+/**
+ * Servers that a request must not reach: those in other regions, in evacuated zones, and cold
+ * servers at their limit.
+ */
 public final class ServerRestrictionsTest {
   private ForwardFixture fixture;
 
@@ -88,7 +91,7 @@
     cold("north", "zone-a");
     cold("south", "zone-b");
     submitMany();
-    // 1.5 x 2 + 5 = 8 a second and server, shared by four routers.
+    // 1.5 x 2 + 5 = 8 requests per second and server, shared by four routers.
     assertThat(fixture.sent).hasSizeBetween(2, 4);
     assertThat(fixture.outcomes).hasSize(20 - fixture.sent.size());
     assertThat(fixture.error(0).executed()).isEqualTo(Executed.NO);
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/SlowStartTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/SlowStartTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A process that has just started and whose callers are already there. */
+/** Load on a process that has just started: held requests and the limit on concurrent searches. */
 public final class SlowStartTest {
   private static final int PARTS = 4;
   private static final int FIRST = 3;
@@ -51,7 +51,7 @@
     }
     answerSearch(0);
 
-    // Two take the place of the one that ended.
+    // The ended search frees one place and raises the limit by one.
     assertThat(fixture.sent).hasSize((FIRST + 2) * PARTS);
   }
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/SuspectNewsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/SuspectNewsTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What routers tell each other of requests under which servers end. */
+/** How routers inform each other of requests that crash servers. */
 public final class SuspectNewsTest {
   private static final int ROUTERS = 12;
   private static final Duration SOON = Duration.ofMillis(300);
@@ -83,7 +83,7 @@
     assertThat(fleet.ends(CrashFleet.CRASHING) - endedBefore).isEqualTo(1);
   }
 
-  /** Lets servers end under the request, then the one that it is tried on. */
+  /** Gets the request quarantined: it crashes servers, then the server of its canary. */
   private void holdBack() {
     fleet.routers.get(0).ask(CrashFleet.CRASHING);
     fleet.advance(Duration.ofMillis(2_100));
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/TimerLatenessTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/TimerLatenessTest.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** When an answer leaves that is given since it is due. */
+/** How much of the objective is reserved for late timers, so that a due answer is in time. */
 public final class TimerLatenessTest {
   private static final Duration OBJECTIVE = Duration.ofMillis(100);
 
@@ -23,8 +23,8 @@
   }
 
   /**
-   * Replays a search that lacks one of four parts when it is due: 16 ms pass before the request is
-   * read, of which 9 are the way, and 3 ms after its answer has left.
+   * A search lacks one of four parts when it is due. The request is read 16 ms after the caller
+   * started to connect, 9 ms of which are network delay, and the answer takes 3 ms to the caller.
    */
   @Test
   public void whoHasJustConnectedGetsAnAnswerThatIsDueInTime() {
@@ -40,7 +40,7 @@
     for (int shard = 1; shard <= 4; shard++) {
       router.server("s" + shard, "s" + shard);
     }
-    // The way of the connection and of the request, and this router's slowness.
+    // Network delay of the connection and the request, plus the delay until this router reads it.
     Duration unread = Duration.ofMillis(16);
     router.submit();
     for (int shard = 0; shard < 3; shard++) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/WeightedRotationTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/WeightedRotationTest.java
@@ -10,6 +10,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
+/** Every service gets a share of requests proportional to its weight. */
 public final class WeightedRotationTest {
   private static final ImmutableList<WeightedService> SERVICES =
       ImmutableList.of(
