--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashFleet.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashFleet.java
@@ -26,22 +26,22 @@
  */
 final class CrashFleet {
   static final String CRASHING = "/crash";
-  static final Duration CONTACT = Duration.ofSeconds(4);
-  private static final Duration WORK = Duration.ofMillis(20);
-  private static final Duration BACK_AFTER = Duration.ofSeconds(2);
-  private static final Duration LONGEST_WAY = Duration.ofMillis(4);
+  static final Duration PROPAGATION_BOUND = Duration.ofSeconds(4);
+  private static final Duration SERVICE_TIME = Duration.ofMillis(20);
+  private static final Duration RESTART_DELAY = Duration.ofSeconds(2);
+  private static final Duration MAXIMUM_MESSAGE_DELAY = Duration.ofMillis(4);
   private static final Duration STEP = Duration.ofMillis(1);
 
   final FakeClock clock = new FakeClock();
   final List<Router> routers = new ArrayList<>();
 
   /** When servers crashed while running a request, by the request's path. */
-  final Map<String, List<Long>> endsNanos = new HashMap<>();
+  final Map<String, List<Long>> crashNanos = new HashMap<>();
 
   /** When requests first reached a server, by path; one entry per caller's request. */
-  final Map<String, List<Long>> reachedNanos = new HashMap<>();
+  final Map<String, List<Long>> arrivalNanos = new HashMap<>();
 
-  private final TimerQueue world = new TimerQueue();
+  private final TimerQueue simulatedEvents = new TimerQueue();
   private final Map<String, Server> servers = new HashMap<>();
   private final Set<String> counted = new HashSet<>();
   private final Random random;
@@ -80,8 +80,8 @@
   final class Router implements RouterGroup, PeerGroup {
     final int number;
     boolean dead;
-    boolean cutOff;
-    private int life;
+    boolean partitioned;
+    private int incarnation;
     private ForwardFixture core;
     private ImmutableList<NearbyRouter> nearby = ImmutableList.of();
 
@@ -92,7 +92,7 @@
     /** Starts the process. It knows the servers but no suspected requests. */
     void start() {
       dead = false;
-      life++;
+      incarnation++;
       core = new ForwardFixture(clock, id(), "zone-a", this, this::onSent);
       String[] services = new String[shards];
       for (int shard = 0; shard < shards; shard++) {
@@ -105,12 +105,12 @@
               core.server(id, server.service);
             }
           });
-      routers.forEach(Router::look);
+      routers.forEach(Router::refreshNearby);
     }
 
     void kill() {
       dead = true;
-      routers.forEach(Router::look);
+      routers.forEach(Router::refreshNearby);
       servers.values().forEach(server -> server.open.values().removeIf(by -> by == this));
     }
 
@@ -120,15 +120,15 @@
     }
 
     /** Submits a request as a caller. */
-    void ask(String path) {
+    void sendRequest(String path) {
       core.submit("request-" + nextRequest++, path, ForwardFixture.TIMEOUT);
     }
 
-    private void look() {
+    private void refreshNearby() {
       ImmutableList.Builder<NearbyRouter> known = ImmutableList.builder();
       for (Router other : routers) {
         if (other != this && !other.dead) {
-          known.add(new NearbyRouter(other.id(), other.life, "zone-a", other.id(), 1));
+          known.add(new NearbyRouter(other.id(), other.incarnation, "zone-a", other.id(), 1));
         }
       }
       nearby = known.build();
@@ -139,11 +139,11 @@
     }
 
     private void onSent(ServerAttempt attempt) {
-      int sentIn = life;
-      world.schedule(
+      int sentByIncarnation = incarnation;
+      simulatedEvents.schedule(
           clock.nanoTime() + STEP.toNanos(),
           () -> {
-            if (!dead && sentIn == life) {
+            if (!dead && sentByIncarnation == incarnation) {
               arrive(attempt, this);
             }
           });
@@ -167,15 +167,16 @@
     @Override
     public void send(String address, PeerBody body) {
       Router to = routers.get(Integer.parseInt(address));
-      if (cutOff || to.cutOff || random.nextDouble() < loss) {
+      if (partitioned || to.partitioned || random.nextDouble() < loss) {
         return;
       }
       PeerMessage message =
           new PeerMessage(
-              new MemberRecord(id(), "zone-a", id(), 1, life, 0, MemberRecord.State.ALIVE), body);
-      long way = 1 + (long) (random.nextDouble() * LONGEST_WAY.toNanos());
-      world.schedule(
-          clock.nanoTime() + way,
+              new MemberRecord(id(), "zone-a", id(), 1, incarnation, 0, MemberRecord.State.ALIVE),
+              body);
+      long delayNanos = 1 + (long) (random.nextDouble() * MAXIMUM_MESSAGE_DELAY.toNanos());
+      simulatedEvents.schedule(
+          clock.nanoTime() + delayNanos,
           () -> {
             if (!to.dead) {
               to.core.coordinator.onPeerMessage(message);
@@ -187,7 +188,7 @@
   void advance(Duration length) {
     for (long millis = 0; millis < length.toMillis(); millis++) {
       clock.advance(STEP);
-      world.runDue(clock.nanoTime());
+      simulatedEvents.runDue(clock.nanoTime());
       for (Router router : routers) {
         if (!router.dead) {
           router.core.timers.runDue(clock.nanoTime());
@@ -197,7 +198,7 @@
   }
 
   /** Crashes random servers independently of requests, as when a rack loses power. */
-  void endServers(int count) {
+  void crashServers(int count) {
     List<String> running =
         new ArrayList<>(
             servers.keySet().stream().filter(id -> !servers.get(id).ended).sorted().toList());
@@ -207,35 +208,35 @@
   }
 
   /**
-   * Number of requests to a path that reached a server later than {@link #CONTACT} after the third
-   * crash.
+   * Number of requests to a path that reached a server later than {@link #PROPAGATION_BOUND} after
+   * the third crash.
    */
-  long comingsAfterThirdEnd(String path) {
-    List<Long> ends = endsNanos.getOrDefault(path, List.of());
+  long arrivalsAfterThirdCrash(String path) {
+    List<Long> ends = crashNanos.getOrDefault(path, List.of());
     if (ends.size() < 3) {
       return 0;
     }
-    long boundNanos = ends.get(2) + CONTACT.toNanos();
-    return reachedNanos.get(path).stream().filter(nanos -> nanos > boundNanos).count();
+    long boundNanos = ends.get(2) + PROPAGATION_BOUND.toNanos();
+    return arrivalNanos.get(path).stream().filter(nanos -> nanos > boundNanos).count();
   }
 
   int ends(String path) {
-    return endsNanos.getOrDefault(path, List.of()).size();
+    return crashNanos.getOrDefault(path, List.of()).size();
   }
 
   private void arrive(ServerAttempt attempt, Router by) {
     Server server = servers.get(attempt.server().id());
     if (server.ended) {
-      tell(by, attempt, ServerFailure.UNREACHABLE);
+      reportFailure(by, attempt, ServerFailure.UNREACHABLE);
       return;
     }
     String path = attempt.request().target();
     if (counted.add(attempt.request().id())) {
-      reachedNanos.computeIfAbsent(path, key -> new ArrayList<>()).add(clock.nanoTime());
+      arrivalNanos.computeIfAbsent(path, key -> new ArrayList<>()).add(clock.nanoTime());
     }
     server.open.put(attempt, by);
-    world.schedule(
-        clock.nanoTime() + WORK.toNanos(),
+    simulatedEvents.schedule(
+        clock.nanoTime() + SERVICE_TIME.toNanos(),
         () -> finish(server, attempt, path.startsWith(CRASHING)));
   }
 
@@ -244,7 +245,7 @@
       return;
     }
     if (crashes) {
-      endsNanos
+      crashNanos
           .computeIfAbsent(attempt.request().target(), key -> new ArrayList<>())
           .add(clock.nanoTime());
       end(attempt.server().id());
@@ -261,9 +262,9 @@
     server.ended = true;
     Map<ServerAttempt, Router> open = new HashMap<>(server.open);
     server.open.clear();
-    open.forEach((attempt, by) -> tell(by, attempt, ServerFailure.BROKEN));
-    world.schedule(
-        clock.nanoTime() + BACK_AFTER.toNanos(),
+    open.forEach((attempt, by) -> reportFailure(by, attempt, ServerFailure.BROKEN));
+    simulatedEvents.schedule(
+        clock.nanoTime() + RESTART_DELAY.toNanos(),
         () -> {
           for (Router router : routers) {
             router.core.directory.onGone(id, clock.nanoTime(), clock.nanoTime());
@@ -272,7 +273,7 @@
         });
   }
 
-  private void tell(Router router, ServerAttempt attempt, ServerFailure failure) {
+  private void reportFailure(Router router, ServerAttempt attempt, ServerFailure failure) {
     if (!router.dead) {
       router.core.fail(attempt, failure);
     }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashGuardTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashGuardTest.java
@@ -11,7 +11,7 @@
 /** How one router handles a request that crashes the servers running it. */
 public final class CrashGuardTest {
   private static final Duration PAST_CANARY_TIME = Duration.ofSeconds(3);
-  private static final Duration PAST_HOLD = Duration.ofMinutes(11);
+  private static final Duration PAST_QUARANTINE = Duration.ofMinutes(11);
 
   private ForwardFixture router;
 
@@ -27,9 +27,9 @@
   }
 
   @Test
-  public void theThirdServerThatEndsStopsFurtherAttempts() {
+  public void thirdCrashStopsFurtherAttempts() {
     router.submit();
-    breakAll();
+    breakAllConnections();
 
     // One attempt per shard, and two retries before the third crash.
     assertThat(router.sent).hasSize(6);
@@ -39,7 +39,7 @@
   }
 
   @Test
-  public void whenItComesAgainOneServerGetsIt() {
+  public void suspectedRequestIsSentToOneServerWhenResubmitted() {
     suspect();
     router.submit();
 
@@ -47,7 +47,7 @@
   }
 
   @Test
-  public void anotherComingIsRefusedWhileItIsTried() {
+  public void resubmissionIsRefusedWhileItsCanaryRuns() {
     suspect();
     router.submit();
     router.submit();
@@ -58,7 +58,7 @@
   }
 
   @Test
-  public void whatEndsThatServerTooIsSentToNone() {
+  public void requestThatCrashesItsCanaryServerIsQuarantined() {
     suspect();
     router.submit();
     router.fail(router.last(), ServerFailure.BROKEN);
@@ -74,7 +74,7 @@
   }
 
   @Test
-  public void whatIsAnsweredThereIsSentToAllShards() {
+  public void requestIsSentToAllShardsAfterItsCanaryIsAnswered() {
     suspect();
     router.submit();
     router.answer(router.last());
@@ -87,7 +87,7 @@
   }
 
   @Test
-  public void aCanaryIsNoSecondAttemptOfAPartAndIsNotHedged() {
+  public void canaryIsOneAttemptAndIsNotHedged() {
     suspect();
     router.submit();
     router.advanceInSteps(ForwardFixture.OBJECTIVE);
@@ -96,7 +96,7 @@
   }
 
   @Test
-  public void aRouterThatIsAloneTriesAlsoLater() {
+  public void singleRouterRunsCanaryAlsoLater() {
     suspect();
     router.advance(PAST_CANARY_TIME);
     router.submit();
@@ -105,7 +105,7 @@
   }
 
   @Test
-  public void canariesWithoutAResultAreFew() {
+  public void canariesWithoutAResultAreLimited() {
     suspect();
     for (int canary = 0; canary < 5; canary++) {
       router.submit();
@@ -116,11 +116,11 @@
   }
 
   @Test
-  public void whatWasHeldBackIsTriedOnOneServerMuchLater() {
+  public void quarantinedRequestGetsACanaryAfterTheQuarantine() {
     suspect();
     router.submit();
     router.fail(router.last(), ServerFailure.BROKEN);
-    router.advance(PAST_HOLD);
+    router.advance(PAST_QUARANTINE);
     router.submit();
     assertThat(router.sent).hasSize(2);
     router.answer(router.last());
@@ -129,7 +129,7 @@
   }
 
   @Test
-  public void answersLostByResetDoNotMakeASoundSearchLoseParts() {
+  public void harmlessSearchLosesNoPartsToConnectionResets() {
     router.submit();
     for (int part = 0; part < 3; part++) {
       router.fail(router.attempt(part), ServerFailure.BROKEN);
@@ -143,7 +143,7 @@
   }
 
   @Test
-  public void partsThatWaitForAnAnswerAreGivenUpWhenNoneComes() {
+  public void postponedPartsAreAbandonedWhenNoAnswerComes() {
     router.submit();
     for (int part = 0; part < 3; part++) {
       router.fail(router.attempt(part), ServerFailure.BROKEN);
@@ -155,7 +155,7 @@
   }
 
   @Test
-  public void anotherRequestIsNotTouched() {
+  public void otherRequestsAreUnaffected() {
     suspect();
     router.submit("other", "/other", ForwardFixture.TIMEOUT);
 
@@ -163,7 +163,7 @@
   }
 
   @Test
-  public void serversThatCannotBeReachedAccuseNobody() {
+  public void unreachableServersRaiseNoSuspicion() {
     router.submit();
     while (router.outcomes.isEmpty()) {
       router.fail(router.last(), ServerFailure.UNREACHABLE);
@@ -177,7 +177,7 @@
   }
 
   @Test
-  public void firstEndsAreForgottenSoThatNoRequestNeedsItsKey() {
+  public void singleCrashIsForgottenSoThatNoKeyIsComputed() {
     router.submit();
     router.fail(router.last(), ServerFailure.BROKEN);
     assertThat(router.coordinator.suspects().isEmpty()).isFalse();
@@ -188,13 +188,13 @@
   }
 
   @Test
-  public void aRequestThatMayNotRunTwiceIsTriedByItsOnlyRun() {
+  public void nonRepeatableRequestIsItsOwnCanary() {
     router = new ForwardFixture();
     router.route(false, "s");
     for (int server = 0; server < 6; server++) {
       router.server("s-" + server, "s");
     }
-    for (int coming = 0; coming < 3; coming++) {
+    for (int submission = 0; submission < 3; submission++) {
       router.submit();
       router.fail(router.last(), ServerFailure.BROKEN);
     }
@@ -209,12 +209,12 @@
   /** Makes the request suspected: at least three servers crash under it and none answers. */
   private void suspect() {
     router.submit();
-    breakAll();
+    breakAllConnections();
     assertThat(router.outcomes).hasSize(1);
     router.sent.clear();
   }
 
-  private void breakAll() {
+  private void breakAllConnections() {
     for (int sent = 0; sent < router.sent.size(); sent++) {
       router.fail(router.attempt(sent), ServerFailure.BROKEN);
     }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashingRequestProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashingRequestProperties.java
@@ -15,13 +15,13 @@
  */
 class CrashingRequestProperties {
   private static final int STEPS = 60;
-  private static final String SOUND = "/sound";
+  private static final String HARMLESS = "/sound";
 
   /** Routers may start canaries before they learn of each other's. */
-  private static final int MOST_LATE_COMINGS = 3;
+  private static final int MAXIMUM_LATE_ARRIVALS = 3;
 
   @Property(tries = 40, seed = "36")
-  void afterTheThirdEndAndTheBoundNextToNothingReachesServers(
+  void fewArrivalsReachServersAfterTheThirdCrashAndTheBound(
       @ForAll @IntRange(min = 2, max = 12) int size,
       @ForAll @IntRange(min = 1, max = 6) int shards,
       @ForAll @DoubleRange(min = 0, max = 0.3) double loss,
@@ -32,11 +32,11 @@
     for (int step = 0; step < STEPS; step++) {
       CrashFleet.Router router = fleet.routers.get(random.nextInt(size));
       if (!router.dead) {
-        router.ask(random.nextInt(3) > 0 ? CrashFleet.CRASHING : SOUND + step);
+        router.sendRequest(random.nextInt(3) > 0 ? CrashFleet.CRASHING : HARMLESS + step);
       }
       int chance = random.nextInt(20);
       if (chance == 0) {
-        fleet.endServers(shards);
+        fleet.crashServers(shards);
       } else if (chance == 1 && killed < 0 && size > 2) {
         killed = random.nextInt(size);
         fleet.routers.get(killed).kill();
@@ -44,31 +44,31 @@
         fleet.routers.get(killed).start();
         killed = -1;
         // A restarted router first has to learn of the suspected requests.
-        fleet.advance(CrashFleet.CONTACT);
+        fleet.advance(CrashFleet.PROPAGATION_BOUND);
       }
       fleet.advance(Duration.ofMillis(20 + random.nextInt(800)));
     }
 
-    assertThat(fleet.comingsAfterThirdEnd(CrashFleet.CRASHING))
-        .isLessThanOrEqualTo(MOST_LATE_COMINGS);
+    assertThat(fleet.arrivalsAfterThirdCrash(CrashFleet.CRASHING))
+        .isLessThanOrEqualTo(MAXIMUM_LATE_ARRIVALS);
   }
 
   @Property(tries = 40, seed = "37")
-  void aSoundRequestThatLostServersIsAnsweredWhenItComesAgain(
+  void harmlessRequestIsAnsweredWhenResubmitted(
       @ForAll @IntRange(min = 2, max = 12) int size,
       @ForAll @IntRange(min = 1, max = 6) int shards,
       @ForAll @IntRange(min = 1, max = 1_000_000) int seed) {
     Random random = new Random(seed);
     CrashFleet fleet = new CrashFleet(size, shards, 0, seed);
-    fleet.routers.get(random.nextInt(size)).ask(SOUND);
+    fleet.routers.get(random.nextInt(size)).sendRequest(HARMLESS);
     fleet.advance(Duration.ofMillis(5));
-    fleet.endServers(2 * shards);
+    fleet.crashServers(2 * shards);
     fleet.advance(Duration.ofMillis(random.nextInt(5_000)));
     boolean answered = false;
-    for (int coming = 0; coming < 6 * size && !answered; coming++) {
+    for (int submission = 0; submission < 6 * size && !answered; submission++) {
       // Later only one of the routers runs canaries; submitting to each in turn reaches it too.
-      CrashFleet.Router router = fleet.routers.get(coming % size);
-      router.ask(SOUND);
+      CrashFleet.Router router = fleet.routers.get(submission % size);
+      router.sendRequest(HARMLESS);
       fleet.advance(Duration.ofMillis(500));
       answered = router.lastOutcome().isRight();
     }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashingRequestTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashingRequestTest.java
@@ -16,44 +16,44 @@
  * request, and do not report suspected requests to each other.
  */
 public final class CrashingRequestTest {
-  private static final Duration BETWEEN_COMINGS = Duration.ofMillis(700);
+  private static final Duration RESUBMISSION_INTERVAL = Duration.ofMillis(700);
 
   @Test
-  public void aSearchThatEndsServersReachesNoneOnceThatIsKnownWhicheverRouterItComesTo() {
+  public void crashingSearchReachesNoServerThroughAnyRouterOnceKnown() {
     CrashFleet fleet = new CrashFleet(4, 6, 0, 1);
-    for (int coming = 0; coming < 20; coming++) {
-      fleet.routers.get(coming % 4).ask(CrashFleet.CRASHING);
-      fleet.advance(BETWEEN_COMINGS);
+    for (int submission = 0; submission < 20; submission++) {
+      fleet.routers.get(submission % 4).sendRequest(CrashFleet.CRASHING);
+      fleet.advance(RESUBMISSION_INTERVAL);
     }
 
     assertThat(fleet.ends(CrashFleet.CRASHING)).isGreaterThanOrEqualTo(3);
-    assertThat(fleet.comingsAfterThirdEnd(CrashFleet.CRASHING)).isLessThanOrEqualTo(3);
+    assertThat(fleet.arrivalsAfterThirdCrash(CrashFleet.CRASHING)).isLessThanOrEqualTo(3);
   }
 
   @Test
-  public void aRequestToOneServerThatEndsItReachesNoneOnceThatIsKnown() {
+  public void crashingSingleServerRequestReachesNoServerOnceKnown() {
     CrashFleet fleet = new CrashFleet(4, 1, 0, 2);
-    for (int coming = 0; coming < 20; coming++) {
-      fleet.routers.get(coming % 4).ask(CrashFleet.CRASHING);
-      fleet.advance(BETWEEN_COMINGS);
+    for (int submission = 0; submission < 20; submission++) {
+      fleet.routers.get(submission % 4).sendRequest(CrashFleet.CRASHING);
+      fleet.advance(RESUBMISSION_INTERVAL);
     }
 
     assertThat(fleet.ends(CrashFleet.CRASHING)).isGreaterThanOrEqualTo(3);
-    assertThat(fleet.comingsAfterThirdEnd(CrashFleet.CRASHING)).isLessThanOrEqualTo(3);
+    assertThat(fleet.arrivalsAfterThirdCrash(CrashFleet.CRASHING)).isLessThanOrEqualTo(3);
   }
 
   @Test
-  public void othersAreServedWhileItGoesOnComing() {
+  public void otherRequestsAreAnsweredWhileItIsResubmitted() {
     CrashFleet fleet = new CrashFleet(4, 6, 0, 3);
-    fleet.routers.get(0).ask(CrashFleet.CRASHING);
-    fleet.advance(CrashFleet.CONTACT);
-    for (int coming = 0; coming < 8; coming++) {
-      fleet.routers.get(coming % 4).ask(CrashFleet.CRASHING);
-      fleet.routers.get((coming + 1) % 4).ask("/other/" + coming);
-      fleet.advance(BETWEEN_COMINGS);
-
-      assertThat(fleet.routers.get((coming + 1) % 4).lastOutcome().isRight())
-          .as("answer " + coming)
+    fleet.routers.get(0).sendRequest(CrashFleet.CRASHING);
+    fleet.advance(CrashFleet.PROPAGATION_BOUND);
+    for (int submission = 0; submission < 8; submission++) {
+      fleet.routers.get(submission % 4).sendRequest(CrashFleet.CRASHING);
+      fleet.routers.get((submission + 1) % 4).sendRequest("/other/" + submission);
+      fleet.advance(RESUBMISSION_INTERVAL);
+
+      assertThat(fleet.routers.get((submission + 1) % 4).lastOutcome().isRight())
+          .as("answer " + submission)
           .isTrue();
     }
   }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/KeysTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/KeysTest.java
@@ -22,7 +22,7 @@
  */
 public final class KeysTest {
   private static final long FIRST = 1;
-  private static final Duration OLD = Duration.ofSeconds(3);
+  private static final Duration TOO_OLD = Duration.ofSeconds(3);
   private static final Credential KEY = Credential.ofKey("key");
   private static final Caller HOLDER = Caller.withCredential(Optional.of(KEY));
   private static final Tenant HOLDERS_TENANT = tenant("t-1", KEY, Optional.empty());
@@ -51,7 +51,7 @@
   }
 
   @Test
-  public void whoHasNoKeyIsRefusedWithoutATimeToComeBack() {
+  public void requestsWithoutAValidKeyAreRefusedWithoutRetryAfter() {
     serve("s");
     router.caller = Caller.ANONYMOUS;
     router.submit();
@@ -65,9 +65,9 @@
   }
 
   @Test
-  public void aRouterWhoseViewIsOldRefusesAtOnceAndHasNotRunIt() {
+  public void routerWithAnOldViewRefusesWithoutRunning() {
     serve("s");
-    router.viewAge = Optional.of(OLD);
+    router.viewAge = Optional.of(TOO_OLD);
     router.submit();
 
     assertThat(router.error(0).kind()).isEqualTo(ErrorKind.NOT_CONFIRMED);
@@ -78,7 +78,7 @@
   }
 
   @Test
-  public void publicRoutesAreServedByAnOldViewWithoutATenant() {
+  public void publicRoutesAreServedWithAnOldViewAndWithoutATenant() {
     router.isPublic = true;
     serve("s");
     router.viewAge = Optional.empty();
@@ -88,7 +88,7 @@
   }
 
   @Test
-  public void aNameThatACallerGivesItselfIsNotTaken() {
+  public void tenantStatedByTheCallerIsIgnored() {
     router.tenants = ImmutableList.of();
     serve("s");
     router.caller = new Caller(Optional.empty(), Optional.of("t-1"), false);
@@ -101,7 +101,7 @@
   public void noSecondAttemptIsSentOnceTheViewIsOld() {
     serve("s");
     router.submit();
-    router.viewAge = Optional.of(OLD);
+    router.viewAge = Optional.of(TOO_OLD);
     router.fail(router.last(), ServerFailure.UNREACHABLE);
 
     assertThat(router.sent).hasSize(1);
@@ -109,7 +109,7 @@
   }
 
   @Test
-  public void noHedgeIsSentOnceTheKeyIsTakenAway() {
+  public void noHedgeIsSentOnceTheKeyIsRevoked() {
     serve("s1", "s2", "s3", "s4");
     router.submit();
     int first = router.sent.size();
@@ -125,7 +125,7 @@
   }
 
   @Test
-  public void theLastKeyOfATenantMayGo() {
+  public void lastKeyOfATenantMayBeRevoked() {
     serve("s");
     router.tenants =
         ImmutableList.of(new Tenant("t-1", ImmutableSet.of(), Optional.empty(), Optional.empty()));
@@ -136,7 +136,7 @@
   }
 
   @Test
-  public void aSearchIsHandedOnWithTheTenantAndTheHash() {
+  public void delegatedSearchCarriesTheTenantAndTheKeyHash() {
     RouterPair pair = pair();
     pair.near.submit();
 
@@ -150,9 +150,9 @@
   }
 
   @Test
-  public void aGathererWhoseViewIsOldOrOtherDeclines() {
+  public void gathererWithAnOldOrDifferentViewDeclines() {
     RouterPair pair = pair();
-    pair.far.viewAge = Optional.of(OLD);
+    pair.far.viewAge = Optional.of(TOO_OLD);
     pair.near.submit();
     pair.deliver(FIRST);
     assertThat(pair.replies.get(FIRST)).isInstanceOf(DelegateReply.Declined.class);
@@ -167,7 +167,7 @@
   }
 
   @Test
-  public void whatIsRefusedForAnotherReasonCostsNothingOfTheLimit() {
+  public void requestsRefusedForOtherReasonsDoNotCountAgainstTheLimit() {
     router.tenants = ImmutableList.of(tenant("t-1", KEY, Optional.of(new TenantLimit(1, 2))));
     router.route(true, "s");
     for (int i = 0; i < 40; i++) {
@@ -177,7 +177,7 @@
   }
 
   @Test
-  public void beyondTheLimitNothingRunsAndCallersAreToldWhenToComeBack() {
+  public void requestsBeyondTheLimitAreRefusedWithRetryAfter() {
     router.tenants = ImmutableList.of(tenant("t-1", KEY, Optional.of(new TenantLimit(1, 2))));
     serve("s");
     for (int i = 0; i < 40; i++) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ReadinessTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ReadinessTest.java
@@ -58,13 +58,13 @@
   }
 
   @Test
-  public void whileItHearsOthersTheyAreNoBetterOff() {
+  public void staysReadyWhileItHearsOtherRouters() {
     assertThat(router.coordinator().refusesApiKeys()).isTrue();
     assertThat(router.isReady()).isTrue();
   }
 
   @Test
-  public void whenItHearsNobodyCallersAreBetterOffElsewhere() {
+  public void isNotReadyWhenItHearsNoOtherRouter() {
     nearby = ImmutableList.of();
     assertThat(router.isReady()).isFalse();
     router
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RefusalsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RefusalsTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  public void aRefusalTellsByWhichVersionAndHowOldAViewItWas() {
+  public void refusalLogsConfigurationVersionAndViewAge() {
     RouterEvent.RequestEnded told = refuseBy(Optional.of(Duration.ofMillis(812)));
 
     assertThat(told.version()).isEqualTo(7);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  public void whereNothingWasKnownItSaysSo() {
+  public void unknownViewAgeIsLoggedAsNegative() {
     assertThat(refuseBy(Optional.empty()).viewAgeMs()).isNegative();
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ServerRestrictionsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ServerRestrictionsTest.java
@@ -63,7 +63,7 @@
   }
 
   @Test
-  public void aRequestThatNoOtherZoneMayRunIsRefusedAtOnce() {
+  public void requestIsRefusedAtOnceWhenAllItsZonesAreEvacuated() {
     fixture.route(true, "s");
     fixture.directory.onEvacuated("zone-a");
     fixture.directory.onEvacuated("zone-b");
@@ -73,7 +73,7 @@
   }
 
   @Test
-  public void shardsOfAnEvacuatedZoneAreToldAsMissing() {
+  public void shardsOfAnEvacuatedZoneAreReportedAsMissing() {
     fixture.serverOf("zone-a", "n1", "s1");
     fixture.serverOf("zone-b", "n2", "s2");
     fixture.route(true, "s1", "s2");
@@ -85,7 +85,7 @@
   }
 
   @Test
-  public void aColdServerGetsNoMoreThanItBears() {
+  public void coldServerGetsNoMoreThanItsLimit() {
     fixture.coldRequestsPerSecond = 2;
     fixture.route(true, "s");
     cold("north", "zone-a");
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/SlowStartTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/SlowStartTest.java
@@ -12,7 +12,7 @@
 /** Load on a process that has just started: held requests and the limit on concurrent searches. */
 public final class SlowStartTest {
   private static final int PARTS = 4;
-  private static final int FIRST = 3;
+  private static final int INITIAL_LIMIT = 3;
   private ForwardFixture fixture;
 
   @BeforeMethod
@@ -34,13 +34,13 @@
   }
 
   @Test
-  public void worksOnThreeSearchesAtFirst() {
+  public void runsThreeSearchesAtFirst() {
     configure();
     for (int i = 0; i < 6; i++) {
       fixture.submit();
     }
 
-    assertThat(fixture.sent).hasSize(FIRST * PARTS);
+    assertThat(fixture.sent).hasSize(INITIAL_LIMIT * PARTS);
   }
 
   @Test
@@ -52,13 +52,13 @@
     answerSearch(0);
 
     // The ended search frees one place and raises the limit by one.
-    assertThat(fixture.sent).hasSize((FIRST + 2) * PARTS);
+    assertThat(fixture.sent).hasSize((INITIAL_LIMIT + 2) * PARTS);
   }
 
   @Test
-  public void aSearchThatIsLateDoesNotRaiseIt() {
+  public void lateSearchDoesNotRaiseTheLimit() {
     configure();
-    for (int i = 0; i < FIRST; i++) {
+    for (int i = 0; i < INITIAL_LIMIT; i++) {
       fixture.submit();
     }
     fixture.advance(ForwardFixture.OBJECTIVE);
@@ -67,39 +67,39 @@
       fixture.submit();
     }
 
-    assertThat(fixture.sent).hasSize((FIRST + 1) * PARTS);
+    assertThat(fixture.sent).hasSize((INITIAL_LIMIT + 1) * PARTS);
   }
 
   @Test
-  public void theNewestIsNext() {
+  public void newestWaitingSearchStartsNext() {
     configure();
     for (int i = 0; i < 6; i++) {
       fixture.submit();
     }
     answerSearch(0);
 
-    assertThat(fixture.attempt(FIRST * PARTS).request().id()).isEqualTo("request-6");
-    assertThat(fixture.attempt((FIRST + 1) * PARTS).request().id()).isEqualTo("request-5");
+    assertThat(fixture.attempt(INITIAL_LIMIT * PARTS).request().id()).isEqualTo("request-6");
+    assertThat(fixture.attempt((INITIAL_LIMIT + 1) * PARTS).request().id()).isEqualTo("request-5");
   }
 
   @Test
-  public void aCallerThatAsksForTheFirstTimeIsTurnedAwayInTimeToComeBack() {
+  public void firstTryIsRefusedInTimeForARetry() {
     configure();
     for (int i = 0; i < 6; i++) {
       fixture.submit();
     }
     fixture.advanceInSteps(ForwardFixture.OBJECTIVE.dividedBy(4));
 
-    assertThat(fixture.outcomes).hasSize(6 - FIRST);
+    assertThat(fixture.outcomes).hasSize(6 - INITIAL_LIMIT);
     assertThat(fixture.error(0).kind()).isEqualTo(ErrorKind.OVERLOADED);
     assertThat(fixture.error(0).executed()).isEqualTo(Executed.NO);
     assertThat(fixture.error(0).retryAfter().orElseThrow())
         .isBetween(Duration.ofMillis(200), ForwardFixture.TIMEOUT.dividedBy(3));
-    assertThat(fixture.sent).hasSize(FIRST * PARTS);
+    assertThat(fixture.sent).hasSize(INITIAL_LIMIT * PARTS);
   }
 
   @Test
-  public void aCallerThatHasAskedBeforeWaits() {
+  public void laterTryWaits() {
     configure();
     for (int i = 0; i < 4; i++) {
       fixture.submit();
@@ -115,21 +115,21 @@
   }
 
   @Test
-  public void theLimitGoesAfterAWhile() {
+  public void limitIsLiftedAfterItsMaximumDuration() {
     configure();
-    for (int i = 0; i < FIRST; i++) {
+    for (int i = 0; i < INITIAL_LIMIT; i++) {
       fixture.submit();
     }
     fixture.advance(ForwardFixture.OBJECTIVE);
-    for (int i = 0; i < FIRST; i++) {
+    for (int i = 0; i < INITIAL_LIMIT; i++) {
       answerSearch(i * PARTS);
     }
     fixture.advance(Duration.ofSeconds(4));
-    for (int i = 0; i < FIRST + 1; i++) {
+    for (int i = 0; i < INITIAL_LIMIT + 1; i++) {
       fixture.submit();
     }
 
-    assertThat(fixture.sent).hasSize((FIRST + FIRST + 1) * PARTS);
+    assertThat(fixture.sent).hasSize((INITIAL_LIMIT + INITIAL_LIMIT + 1) * PARTS);
   }
 
   @Test
@@ -144,7 +144,7 @@
   }
 
   @Test
-  public void aCallerThatLeavesGivesItsPlaceUp() {
+  public void cancelledSearchFreesItsPlace() {
     configure();
     ForwardHandle running = fixture.submit();
     fixture.submit();
@@ -153,8 +153,8 @@
     waiting.cancel();
     running.cancel();
 
-    assertThat(fixture.sent).hasSize((FIRST + 1) * PARTS);
-    assertThat(fixture.attempt(FIRST * PARTS).request().id()).isEqualTo("request-4");
+    assertThat(fixture.sent).hasSize((INITIAL_LIMIT + 1) * PARTS);
+    assertThat(fixture.attempt(INITIAL_LIMIT * PARTS).request().id()).isEqualTo("request-4");
     assertThat(fixture.coordinator.inProgress()).isEqualTo(2);
   }
 
@@ -183,7 +183,7 @@
   }
 
   @Test
-  public void withoutAConfigurationTheyAreRefusedInTimeToAskElsewhere() {
+  public void heldRequestsAreRefusedInTimeForARetryElsewhere() {
     fixture.submit();
     fixture.advanceInSteps(ForwardFixture.TIMEOUT.dividedBy(3));
 
@@ -192,7 +192,7 @@
   }
 
   @Test
-  public void whileTheStoreDoesNotAnswerNothingIsHeld() {
+  public void nothingIsHeldWhileTheStoreDoesNotAnswer() {
     fixture.submit();
     fixture.submit();
     assertThat(fixture.outcomes).isEmpty();
@@ -205,7 +205,7 @@
   }
 
   @Test
-  public void aProcessThatHasBeenUpForLongWithoutAConfigurationRefusesAtOnce() {
+  public void nothingIsHeldLongAfterTheStart() {
     fixture.advance(Duration.ofSeconds(2));
     fixture.submit();
 
@@ -213,7 +213,7 @@
   }
 
   @Test
-  public void aHeldCallerThatLeavesIsForgotten() {
+  public void cancelledHeldRequestIsNotSubmitted() {
     ForwardHandle handle = fixture.submit();
     handle.cancel();
     configure();
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/SuspectNewsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/SuspectNewsTest.java
@@ -20,49 +20,49 @@
   }
 
   @Test
-  public void allKnowSoonWhatOneHasSeen() {
-    holdBack();
+  public void quarantineSoonReachesAllRouters() {
+    quarantine();
     fleet.advance(SOON);
 
     assertAllRefuse();
   }
 
   @Test
-  public void aRouterThatStartsAfterwardsIsTold() {
-    holdBack();
+  public void restartedRouterLearnsOfTheQuarantine() {
+    quarantine();
     fleet.advance(SOON);
     fleet.routers.get(3).kill();
     fleet.advance(Duration.ofSeconds(20));
     fleet.routers.get(3).start();
-    fleet.advance(CrashFleet.CONTACT);
+    fleet.advance(CrashFleet.PROPAGATION_BOUND);
 
     assertRefuses(fleet.routers.get(3));
   }
 
   @Test
-  public void aRouterThatWasCutOffIsToldLater() {
-    fleet.routers.get(5).cutOff = true;
-    holdBack();
+  public void partitionedRouterLearnsOfTheQuarantineLater() {
+    fleet.routers.get(5).partitioned = true;
+    quarantine();
     fleet.advance(Duration.ofSeconds(20));
-    fleet.routers.get(5).cutOff = false;
-    fleet.advance(CrashFleet.CONTACT);
+    fleet.routers.get(5).partitioned = false;
+    fleet.advance(CrashFleet.PROPAGATION_BOUND);
 
     assertRefuses(fleet.routers.get(5));
   }
 
   @Test
-  public void whatOneRouterHasClearedIsFreeAtAll() {
-    String sound = "/sound";
-    fleet.routers.get(0).ask(sound);
+  public void requestClearedByOneRouterRunsAtAllRouters() {
+    String harmless = "/sound";
+    fleet.routers.get(0).sendRequest(harmless);
     fleet.advance(Duration.ofMillis(5));
-    fleet.endServers(6);
+    fleet.crashServers(6);
     fleet.advance(Duration.ofMillis(2_100));
-    fleet.routers.get(1).ask(sound);
+    fleet.routers.get(1).sendRequest(harmless);
     fleet.advance(SOON);
     assertThat(fleet.routers.get(1).lastOutcome().isRight()).isTrue();
 
     for (CrashFleet.Router router : fleet.routers) {
-      router.ask(sound);
+      router.sendRequest(harmless);
     }
     fleet.advance(SOON);
     for (CrashFleet.Router router : fleet.routers) {
@@ -71,23 +71,23 @@
   }
 
   @Test
-  public void laterOnlyOneRouterTries() {
-    fleet.routers.get(0).ask(CrashFleet.CRASHING);
+  public void onlyOneRouterRunsALaterCanary() {
+    fleet.routers.get(0).sendRequest(CrashFleet.CRASHING);
     fleet.advance(Duration.ofSeconds(6));
-    int endedBefore = fleet.ends(CrashFleet.CRASHING);
+    int crashesBefore = fleet.ends(CrashFleet.CRASHING);
     for (CrashFleet.Router router : fleet.routers) {
-      router.ask(CrashFleet.CRASHING);
+      router.sendRequest(CrashFleet.CRASHING);
     }
     fleet.advance(SOON);
 
-    assertThat(fleet.ends(CrashFleet.CRASHING) - endedBefore).isEqualTo(1);
+    assertThat(fleet.ends(CrashFleet.CRASHING) - crashesBefore).isEqualTo(1);
   }
 
   /** Gets the request quarantined: it crashes servers, then the server of its canary. */
-  private void holdBack() {
-    fleet.routers.get(0).ask(CrashFleet.CRASHING);
+  private void quarantine() {
+    fleet.routers.get(0).sendRequest(CrashFleet.CRASHING);
     fleet.advance(Duration.ofMillis(2_100));
-    fleet.routers.get(1).ask(CrashFleet.CRASHING);
+    fleet.routers.get(1).sendRequest(CrashFleet.CRASHING);
     fleet.advance(Duration.ofMillis(100));
     assertThat(fleet.ends(CrashFleet.CRASHING)).isGreaterThanOrEqualTo(4);
   }
@@ -97,7 +97,7 @@
   }
 
   private void assertRefuses(CrashFleet.Router router) {
-    router.ask(CrashFleet.CRASHING);
+    router.sendRequest(CrashFleet.CRASHING);
     assertThat(router.lastOutcome().getLeft().kind())
         .as("router " + router.number)
         .isEqualTo(ErrorKind.ENDS_SERVERS);
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/TimerLatenessTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/TimerLatenessTest.java
@@ -27,7 +27,7 @@
    * started to connect, 9 ms of which are network delay, and the answer takes 3 ms to the caller.
    */
   @Test
-  public void whoHasJustConnectedGetsAnAnswerThatIsDueInTime() {
+  public void dueAnswerReachesNewlyConnectedCallerInTime() {
     assertThat(reachesCallerAfter(Caller.ANONYMOUS)).isGreaterThan(ForwardFixture.OBJECTIVE);
     assertThat(reachesCallerAfter(new Caller(Optional.empty(), Optional.empty(), true)))
         .isLessThan(ForwardFixture.OBJECTIVE);
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/WeightedRotationTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/WeightedRotationTest.java
@@ -20,13 +20,13 @@
   public void everyRunOfFortyIsWithinOneOfTheWeights() {
     WeightedRotation rotation = new WeightedRotation(SERVICES, new Random(1));
     for (int run = 0; run < 50; run++) {
-      Map<String, Integer> dealt = new HashMap<>();
+      Map<String, Integer> counts = new HashMap<>();
       for (int i = 0; i < 40; i++) {
-        dealt.merge(rotation.next(), 1, Integer::sum);
+        counts.merge(rotation.next(), 1, Integer::sum);
       }
-      assertThat((double) dealt.get("a")).isCloseTo(28, within(1.0));
-      assertThat((double) dealt.get("b")).isCloseTo(10, within(1.0));
-      assertThat((double) dealt.get("c")).isCloseTo(2, within(1.0));
+      assertThat((double) counts.get("a")).isCloseTo(28, within(1.0));
+      assertThat((double) counts.get("b")).isCloseTo(10, within(1.0));
+      assertThat((double) counts.get("c")).isCloseTo(2, within(1.0));
     }
   }
 
