--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/CrashGuard.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/CrashGuard.java
@@ -19,9 +19,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Refuses requests that have crashed servers. A request that is only suspected of it is first sent
- * to a single server as a canary. While no request is suspected, requests run without their key
- * being computed.
+ * Refuses quarantined requests, which have crashed servers. A request that is only suspected is
+ * first sent to a single server as a canary. While no request is suspected, requests run without
+ * their key being computed.
  */
 final class CrashGuard {
   private static final String DETAIL = "servers that ran this request have ended";
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
@@ -35,8 +35,8 @@
 public final class ForwardCoordinator {
   /**
    * The round trip that a caller spends on opening its connection: 3 ms each way at the sites with
-   * the most distant callers. If it were not deducted, every answer sent at its due time would
-   * reach a caller that has just connected too late.
+   * the most distant callers. Without deducting it, a caller that has just connected would receive
+   * every answer sent at its due time too late.
    */
   private static final Duration CONNECT_ROUND_TRIP = Duration.ofMillis(6);
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/HeldRequests.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/HeldRequests.java
@@ -76,8 +76,7 @@
   }
 
   /**
-   * Refuses all held requests and holding no more, since it is not known when the store can be
-   * read.
+   * Refuses all held requests and holds no more, since it is not known when the store can be read.
    */
   void refuseAll() {
     holding = false;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouteState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouteState.java
@@ -15,8 +15,8 @@
   private static final double HEDGE_QUANTILE = 0.9;
 
   /**
-   * Upper bound of the hedge delay, in medians. If many servers are slow, the quantile is one of
-   * their latencies and would delay hedges too long.
+   * Upper bound of the hedge delay, in medians. If many servers are slow, the quantile is a latency
+   * of the slow ones, and without this bound hedges would be sent too late.
    */
   private static final double MAXIMUM_HEDGE_MEDIANS = 2;
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/TimerLateness.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/TimerLateness.java
@@ -11,7 +11,7 @@
  * <p>It matters on small machines whose processor is shared or temporarily exhausted.
  */
 final class TimerLateness {
-  /** The request waits unread before it is seen, and its timer runs late. */
+  /** Two delays: the request waits unread before it is seen, and its timer runs late. */
   private static final int DELAYS_PER_REQUEST = 2;
 
   /** Maximum fraction of an objective to reserve. */
