--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/CrashGuard.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/CrashGuard.java
@@ -19,8 +19,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps requests from servers that have ended servers, and sends those of which that is not sure to
- * one server first. A request of which nothing is known passes without being looked at.
+ * Refuses quarantined requests, which have crashed servers. A request that is only suspected is
+ * first sent to a single server as a canary. While no request is suspected, requests run without
+ * their key being computed.
  */
 final class CrashGuard {
   private static final String DETAIL = "servers that ran this request have ended";
@@ -31,25 +32,25 @@
   private final RandomGenerator random;
   private final Refusals refusals;
 
-  /** Runs a request that may run. */
+  /** Runs requests that the guard admits. */
   interface Runner {
     /**
-     * Runs it, or a canary of it.
+     * Runs a request or its canary.
      *
-     * @param mayHandOn whether other routers may gather for it
+     * @param mayDelegate whether parts may be delegated to other routers
      */
     ForwardHandle run(
         ForwardedRequest request,
         Route route,
-        RequestWatch watch,
-        boolean mayHandOn,
+        RequestMonitor monitor,
+        boolean mayDelegate,
         Consumer<Either<QueryError, ForwardedAnswer>> sink);
   }
 
   /**
    * Creates a guard.
    *
-   * @param hasServer whether a service has a server that can be used now
+   * @param hasServer whether a service has a usable server at the moment
    */
   CrashGuard(
       SuspectRequests suspects,
@@ -64,7 +65,7 @@
     this.refusals = refusals;
   }
 
-  /** Runs a request, tries it on one server first, or refuses it. */
+  /** Runs a request, runs a canary of it first, or refuses it. */
   ForwardHandle run(
       ForwardedRequest request,
       Route route,
@@ -72,12 +73,12 @@
       Runner runner,
       Consumer<Either<QueryError, ForwardedAnswer>> sink) {
     if (suspects.isEmpty()) {
-      return runner.run(request, route, RequestWatch.of(suspects, request, permit), true, sink);
+      return runner.run(request, route, RequestMonitor.of(suspects, request, permit), true, sink);
     }
-    RequestKey key = RequestWatch.keyOf(request);
+    RequestKey key = RequestMonitor.keyOf(request);
     return switch (suspects.admit(key)) {
       case RUN ->
-          runner.run(request, route, RequestWatch.of(suspects, request, permit), true, sink);
+          runner.run(request, route, RequestMonitor.of(suspects, request, permit), true, sink);
       case REFUSE -> refusals.refuse(request, ErrorKind.ENDS_SERVERS, DETAIL, sink);
       case CANARY -> {
         Canary canary = new Canary(request, route, permit, key, runner, sink);
@@ -87,7 +88,7 @@
     };
   }
 
-  /** A request on one server, and then as usual if that answers it. */
+  /** Runs a suspected request on one server, then as usual if that server answers. */
   private final class Canary implements ForwardHandle {
     private final ForwardedRequest request;
     private final Route route;
@@ -96,7 +97,7 @@
     private final Runner runner;
     private final Consumer<Either<QueryError, ForwardedAnswer>> sink;
     private final long startNanos = clock.nanoTime();
-    private final RequestWatch watch;
+    private final RequestMonitor monitor;
     private ForwardHandle running = ForwardHandle.NONE;
     private boolean passed;
 
@@ -113,11 +114,11 @@
       this.key = key;
       this.runner = runner;
       this.sink = sink;
-      this.watch = RequestWatch.ofCanary(suspects, request, permit);
+      this.monitor = RequestMonitor.ofCanary(suspects, request, permit);
     }
 
     void start() {
-      ForwardHandle canary = runner.run(request, onOneServer(route), watch, false, this::onEnded);
+      ForwardHandle canary = runner.run(request, onOneServer(route), monitor, false, this::onEnded);
       if (!passed) {
         running = canary;
       }
@@ -127,14 +128,16 @@
       boolean mayHaveRun = outcome.isRight() || outcome.getLeft().executed() != Executed.NO;
       suspects.onCanaryEnded(key, mayHaveRun);
       boolean isWhole = route.target() instanceof RouteTarget.OneServer;
-      if (isWhole || !watch.isAnswered()) {
+      if (isWhole || !monitor.isAnswered()) {
         sink.accept(outcome);
         return;
       }
       passed = true;
-      ForwardedRequest left = request.after(Duration.ofNanos(clock.nanoTime() - startNanos));
+      ForwardedRequest remaining =
+          request.afterWaiting(Duration.ofNanos(clock.nanoTime() - startNanos));
       running =
-          runner.run(left, route, RequestWatch.ofAnswered(suspects, left, permit), true, sink);
+          runner.run(
+              remaining, route, RequestMonitor.ofAnswered(suspects, remaining, permit), true, sink);
     }
 
     @Override
@@ -144,7 +147,7 @@
     }
   }
 
-  /** Of a search one shard is enough to see whether its server survives it. */
+  /** For a search, one shard is enough to see whether a server survives it. */
   private Route onOneServer(Route route) {
     Route once = route.withMaximumAttempts(1);
     return route.target() instanceof RouteTarget.AllShards search
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/HeldRequests.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/HeldRequests.java
@@ -10,15 +10,15 @@
 import java.util.function.Consumer;
 
 /**
- * Requests that came before the store was read. A process that has just started will know the
- * configuration and the servers in a moment, and a caller that was cut off by its end may not be
- * able to ask once more.
+ * Requests that arrived before the store was read. A process that has just started will soon know
+ * the configuration and the servers. A caller whose connection broke when the previous process
+ * ended may have no further retry, so its request is held rather than refused.
  */
 final class HeldRequests {
-  /** How long after the start requests are held. */
-  private static final Duration LONGEST_HOLD = Duration.ofMillis(1_500);
+  /** How long after the start of the process requests are held. */
+  private static final Duration HOLD_PERIOD = Duration.ofMillis(1_500);
 
-  private static final double HOLD_FRACTION = 0.3;
+  private static final double MAXIMUM_HOLD_FRACTION = 0.3;
 
   private final RouterClock clock;
   private final TimerQueue timers;
@@ -26,25 +26,25 @@
   private final long endNanos;
   private final Consumer<HeldRequest> refusal;
   private final Deque<HeldRequest> held = new ArrayDeque<>();
-  private boolean holds = true;
+  private boolean holding = true;
 
   /**
    * Creates an empty queue.
    *
-   * @param maximum requests that are held at most
-   * @param refusal refuses a request that has waited for too long
+   * @param maximum maximum number of requests held at the same time
+   * @param refusal refuses a request that has waited too long, or that can no longer be held
    */
   HeldRequests(RouterClock clock, TimerQueue timers, int maximum, Consumer<HeldRequest> refusal) {
     this.clock = clock;
     this.timers = timers;
     this.maximum = maximum;
-    this.endNanos = clock.nanoTime() + LONGEST_HOLD.toNanos();
+    this.endNanos = clock.nanoTime() + HOLD_PERIOD.toNanos();
     this.refusal = refusal;
   }
 
-  /** Whether a request that comes now is held. */
+  /** Whether a request that arrives now is held. */
   boolean mayHold() {
-    return holds && held.size() < maximum && clock.nanoTime() < endNanos;
+    return holding && held.size() < maximum && clock.nanoTime() < endNanos;
   }
 
   /**
@@ -57,27 +57,29 @@
       Duration timeLeft,
       Consumer<Either<QueryError, ForwardedAnswer>> sink) {
     long nowNanos = clock.nanoTime();
-    long longestNanos = nowNanos + (long) (HOLD_FRACTION * timeLeft.toNanos());
+    long expiryNanos = nowNanos + (long) (MAXIMUM_HOLD_FRACTION * timeLeft.toNanos());
     HeldRequest waiting = new HeldRequest(request, nowNanos, sink);
     held.addLast(waiting);
-    timers.schedule(Math.min(endNanos, longestNanos), () -> refuse(waiting));
+    timers.schedule(Math.min(endNanos, expiryNanos), () -> refuse(waiting));
     return () -> {
       held.remove(waiting);
       waiting.cancel();
     };
   }
 
-  /** The store is read: what is held is submitted, the newest first. */
+  /** Called when the store has been read: submits all held requests, the newest first. */
   void submitTo(ForwardCoordinator coordinator) {
-    holds = false;
+    holding = false;
     while (!held.isEmpty()) {
       held.removeLast().submitTo(coordinator, clock.nanoTime());
     }
   }
 
-  /** Nobody knows when the store will be read: nothing is held any more. */
+  /**
+   * Refuses all held requests and holds no more, since it is not known when the store can be read.
+   */
   void refuseAll() {
-    holds = false;
+    holding = false;
     while (!held.isEmpty()) {
       refuse(held.peekLast());
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouteState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouteState.java
@@ -7,35 +7,41 @@
 import java.util.random.RandomGenerator;
 import org.HdrHistogram.Histogram;
 
-/** What a router keeps of one route over its requests and versions. */
+/** State of one route that a router keeps across requests and configuration versions. */
 final class RouteState {
-  private static final double TYPICAL = 0.5;
+  private static final double MEDIAN_QUANTILE = 0.5;
 
-  /** Slower answers than this part of all get a second attempt. */
+  /** An attempt that takes longer than this quantile of latencies is hedged. */
   private static final double HEDGE_QUANTILE = 0.9;
 
-  /** With many slow servers the quantile is theirs; no delay is longer than this many medians. */
-  private static final double HEDGE_MEDIANS = 2;
+  /**
+   * Upper bound of the hedge delay, in medians. If many servers are slow, the quantile is a latency
+   * of the slow ones, and without this bound hedges would be sent too late.
+   */
+  private static final double MAXIMUM_HEDGE_MEDIANS = 2;
 
   private static final long MINIMUM_HEDGE_NANOS = 4_000_000;
 
-  /** Until latencies are known, an answer is expected after this part of the objective. */
-  private static final int EXPECTED_PARTS = 6;
+  /** Until latencies are known, an attempt is expected to take the objective divided by this. */
+  private static final int EXPECTED_DIVISOR = 6;
 
-  private static final int HEDGE_PARTS = 3;
-  private static final long LONGEST_TIME_LEFT_MILLIS = 600_000;
+  private static final int HEDGE_DIVISOR = 3;
+  private static final long MAXIMUM_TIME_LEFT_MILLIS = 600_000;
   private static final int SIGNIFICANT_DIGITS = 3;
   private static final double MEDIAN_PERCENTILE = 50;
 
-  /** Less than this part of the usual time left is put down to the way. */
-  private static final double WAY_FRACTION = 0.02;
+  /**
+   * Differences from the usual time left below this fraction of it are attributed to network delay,
+   * not to earlier tries.
+   */
+  private static final double NETWORK_DELAY_FRACTION = 0.02;
 
-  /** With fewer requests nothing is known of the time that a first try has. */
-  private static final int MINIMUM_TIMES_LEFT = 3;
+  /** With fewer requests the time left of a first try cannot be estimated. */
+  private static final int MINIMUM_SAMPLES = 3;
 
   private final LatencyTracker latencies = new LatencyTracker();
   private final Histogram timesLeftMillis =
-      new Histogram(LONGEST_TIME_LEFT_MILLIS, SIGNIFICANT_DIGITS);
+      new Histogram(MAXIMUM_TIME_LEFT_MILLIS, SIGNIFICANT_DIGITS);
   private final RandomGenerator random;
   private WeightedRotation rotation;
 
@@ -47,20 +53,21 @@
     return latencies;
   }
 
-  /** The usual length of an attempt. */
+  /** Median duration of an attempt. */
   long expectedNanos(Route route) {
-    return latencies.quantileNanos(TYPICAL, route.objective().toNanos() / EXPECTED_PARTS);
+    return latencies.quantileNanos(MEDIAN_QUANTILE, route.objective().toNanos() / EXPECTED_DIVISOR);
   }
 
-  /** How long an attempt may be open before a second one starts. */
+  /** How long an attempt may be open before a hedge is sent. */
   long hedgeDelayNanos(Route route) {
-    long fallback = route.objective().toNanos() / HEDGE_PARTS;
+    long fallback = route.objective().toNanos() / HEDGE_DIVISOR;
     long slow = latencies.quantileNanos(HEDGE_QUANTILE, fallback);
-    long bound = (long) (HEDGE_MEDIANS * latencies.quantileNanos(TYPICAL, fallback));
+    long bound =
+        (long) (MAXIMUM_HEDGE_MEDIANS * latencies.quantileNanos(MEDIAN_QUANTILE, fallback));
     return Math.max(MINIMUM_HEDGE_NANOS, Math.min(slow, bound));
   }
 
-  /** The service that the next request of a weighted route goes to. */
+  /** Picks the service for the next request of a weighted route. */
   String nextService(RouteTarget.OneServer target) {
     if (rotation == null || !rotation.services().equals(target.services())) {
       rotation = new WeightedRotation(target.services(), random);
@@ -69,20 +76,23 @@
   }
 
   /**
-   * How long ago the caller first asked. Most requests of a route are first tries with the same
-   * time left; one that has less left has been tried before.
+   * Estimates how long ago the caller sent its first try, and records the time left. Most requests
+   * of a route are first tries with the same time left, so one with less has been tried before.
    */
   Duration spentBefore(Duration timeLeft) {
-    long millis = Math.min(LONGEST_TIME_LEFT_MILLIS, Math.max(1, timeLeft.toMillis()));
+    long millis = Math.min(MAXIMUM_TIME_LEFT_MILLIS, Math.max(1, timeLeft.toMillis()));
     timesLeftMillis.recordValue(millis);
     long usual = timesLeftMillis.getValueAtPercentile(MEDIAN_PERCENTILE);
     long spent = usual - millis;
-    return spent > WAY_FRACTION * usual ? Duration.ofMillis(spent) : Duration.ZERO;
+    return spent > NETWORK_DELAY_FRACTION * usual ? Duration.ofMillis(spent) : Duration.ZERO;
   }
 
-  /** Whether the caller has as much time left as any; false while too little is known. */
+  /**
+   * Whether the request is probably a first try: its caller has about as much time left as any
+   * caller of the route so far. False while there are too few requests to tell.
+   */
   boolean isFirstTry(Duration timeLeft) {
-    return timesLeftMillis.getTotalCount() >= MINIMUM_TIMES_LEFT
-        && timeLeft.toMillis() >= (1 - WAY_FRACTION) * timesLeftMillis.getMaxValue();
+    return timesLeftMillis.getTotalCount() >= MINIMUM_SAMPLES
+        && timeLeft.toMillis() >= (1 - NETWORK_DELAY_FRACTION) * timesLeftMillis.getMaxValue();
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/TenantAdmission.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/TenantAdmission.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** Lets requests in by their keys and within their tenants' limits. */
+/** Admits requests by their API keys and within the rate limits of their tenants. */
 final class TenantAdmission {
   private static final double NANOS_PER_MILLI = 1e6;
 
@@ -25,27 +25,32 @@
   private final EventLog events;
   private boolean closed;
 
-  /** What follows for a request. */
-  interface Outcome {
+  /** Receives the decision on a request. */
+  interface Handler {
     /**
-     * It may run.
+     * The request may run.
      *
-     * @param request with its tenant
-     * @param route with the tenant's priority
-     * @param tenant whose limit has paid for it, if any
+     * @param request the request, with its tenant set
+     * @param route the route, with the tenant's priority
+     * @param permit whether attempts may still be sent
+     * @param tenant the tenant whose limit the request was counted against, if any
      */
     ForwardHandle run(
         ForwardedRequest request, Route route, RunPermit permit, Optional<Tenant> tenant);
 
-    /** It is refused and has not run; without a time to come back the usual one is told. */
+    /**
+     * The request is refused and has not been executed. Without {@code retryAfter} the caller is
+     * told the default delay.
+     */
     void refuse(ErrorKind kind, String detail, Optional<Duration> retryAfter);
   }
 
   /**
    * Creates an admission.
    *
-   * @param tenants of the configuration in force
-   * @param viewAge how old this router's view of them may be
+   * @param tenants tenants of the configuration in force
+   * @param viewAge upper bound of the age of this router's view of them; empty before there is a
+   *     view
    */
   TenantAdmission(
       Authenticator authenticator,
@@ -60,37 +65,41 @@
     this.events = events;
   }
 
-  /** Whether requests with keys are refused now, since this router's view is too old. */
+  /** Whether requests with API keys are refused because this router's view is too old. */
   boolean isClosed() {
     return authenticator.isClosed(tenants.get());
   }
 
-  /** Decides on a request; perhaps after the router that counts its tenant has been asked. */
-  ForwardHandle admit(ForwardedRequest request, Route route, Outcome outcome) {
-    noteView();
+  /**
+   * Decides on a request, at once or after asking the router that counts the requests of its
+   * tenant.
+   */
+  ForwardHandle admit(ForwardedRequest request, Route route, Handler handler) {
+    logViewChange();
     Optional<Credential> credential = request.caller().credential();
     Authenticator.Identity identity =
         authenticator.identify(tenants.get(), route.isPublic(), credential);
     if (identity instanceof Authenticator.Identity.Unknown unknown) {
-      outcome.refuse(ErrorKind.UNAUTHENTICATED, unknown.reason(), Optional.empty());
+      handler.refuse(ErrorKind.UNAUTHENTICATED, unknown.reason(), Optional.empty());
       return ForwardHandle.NONE;
     }
     if (identity instanceof Authenticator.Identity.NotConfirmed old) {
-      outcome.refuse(ErrorKind.NOT_CONFIRMED, old.reason(), Optional.empty());
+      handler.refuse(ErrorKind.NOT_CONFIRMED, old.reason(), Optional.empty());
       return ForwardHandle.NONE;
     }
     Optional<Tenant> tenant = ((Authenticator.Identity.Known) identity).tenant();
     if (tenant.isEmpty()) {
-      return outcome.run(request.of(Optional.empty()), route, RunPermit.ALWAYS, tenant);
+      return handler.run(request.withTenant(Optional.empty()), route, RunPermit.ALWAYS, tenant);
     }
-    return acquire(request, route, tenant.get(), outcome);
+    return acquire(request, route, tenant.get(), handler);
   }
 
   /**
-   * Whether a search that another router hands on may run here: by this router's own view the key
-   * must be the tenant's. Its unit of the limit was paid there.
+   * The permit for a search that another router delegates to this one; empty if the search may not
+   * run here. By this router's own view, its API key must belong to the tenant that it states. The
+   * delegating router has already counted it against the tenant's limit.
    */
-  Optional<RunPermit> permitOf(ForwardedRequest request, Route route) {
+  Optional<RunPermit> permitForDelegated(ForwardedRequest request, Route route) {
     Optional<Credential> credential = request.caller().credential();
     Authenticator.Identity identity =
         authenticator.identify(tenants.get(), route.isPublic(), credential);
@@ -104,8 +113,8 @@
     return Optional.empty();
   }
 
-  /** A route with the priority of a request's tenant, where that has one. */
-  Route rank(Route route, ForwardedRequest request) {
+  /** Returns the route with the priority of the request's tenant, if that tenant has one. */
+  Route withTenantPriority(Route route, ForwardedRequest request) {
     return request
         .caller()
         .tenant()
@@ -115,14 +124,17 @@
         .orElse(route);
   }
 
-  /** A request that was let in has not run and will not. */
+  /**
+   * Returns the unit of the limit that an admitted request took; it was not executed and will not
+   * be.
+   */
   void giveBack(Tenant tenant) {
     limiter.giveBack(tenant);
   }
 
   private ForwardHandle acquire(
-      ForwardedRequest request, Route route, Tenant tenant, Outcome outcome) {
-    Acquisition acquisition = new Acquisition(request, route, tenant, outcome);
+      ForwardedRequest request, Route route, Tenant tenant, Handler handler) {
+    Acquisition acquisition = new Acquisition(request, route, tenant, handler);
     acquisition.asked = limiter.acquire(tenant, acquisition::onDecision);
     return acquisition;
   }
@@ -134,7 +146,7 @@
     return () -> authenticator.mayRun(tenants.get(), tenant.get(), credential.get());
   }
 
-  private void noteView() {
+  private void logViewChange() {
     boolean nowClosed = isClosed();
     if (nowClosed != closed) {
       closed = nowClosed;
@@ -143,34 +155,34 @@
     }
   }
 
-  /** A request that may wait for the word of the router that counts its tenant. */
+  /** A request that may be waiting for the decision of the router that counts its tenant. */
   private final class Acquisition implements ForwardHandle {
     private final ForwardedRequest request;
     private final Route route;
     private final Tenant tenant;
-    private final Outcome outcome;
+    private final Handler handler;
     private TenantLimiter.Asked asked = () -> {};
     private ForwardHandle running = ForwardHandle.NONE;
 
-    Acquisition(ForwardedRequest request, Route route, Tenant tenant, Outcome outcome) {
+    Acquisition(ForwardedRequest request, Route route, Tenant tenant, Handler handler) {
       this.request = request;
       this.route = route;
       this.tenant = tenant;
-      this.outcome = outcome;
+      this.handler = handler;
     }
 
     void onDecision(LimitDecision decision) {
       if (decision instanceof LimitDecision.Refused refused) {
-        outcome.refuse(
+        handler.refuse(
             ErrorKind.LIMIT_EXCEEDED,
             "tenant " + tenant.name() + " asks beyond its limit, says " + refused.by(),
             Optional.of(refused.retryAfter()));
         return;
       }
       Optional<String> name = Optional.of(tenant.name());
-      ForwardedRequest named = request.of(name);
+      ForwardedRequest named = request.withTenant(name);
       RunPermit permit = permit(name, request.caller().credential());
-      running = outcome.run(named, rank(route, named), permit, Optional.of(tenant));
+      running = handler.run(named, withTenantPriority(route, named), permit, Optional.of(tenant));
     }
 
     @Override
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashFleet.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashFleet.java
@@ -20,28 +20,28 @@
 import java.util.Set;
 
 /**
- * Routers in virtual time in front of the same servers, some of which a request may end. A server
- * answers after some milliseconds; one that has ended takes all that is open there with it, refuses
- * connections, and is back under another id after two seconds.
+ * Simulates, in virtual time, several routers in front of the same servers, which certain requests
+ * crash. A server answers after 20 ms. A crashed server breaks all its open attempts, refuses
+ * connections, and is replaced by one with another id after two seconds.
  */
 final class CrashFleet {
   static final String CRASHING = "/crash";
-  static final Duration CONTACT = Duration.ofSeconds(4);
-  private static final Duration WORK = Duration.ofMillis(20);
-  private static final Duration BACK_AFTER = Duration.ofSeconds(2);
-  private static final Duration LONGEST_WAY = Duration.ofMillis(4);
+  static final Duration PROPAGATION_BOUND = Duration.ofSeconds(4);
+  private static final Duration SERVICE_TIME = Duration.ofMillis(20);
+  private static final Duration RESTART_DELAY = Duration.ofSeconds(2);
+  private static final Duration MAXIMUM_MESSAGE_DELAY = Duration.ofMillis(4);
   private static final Duration STEP = Duration.ofMillis(1);
 
   final FakeClock clock = new FakeClock();
   final List<Router> routers = new ArrayList<>();
 
-  /** When each server ended under a request, by the request's path. */
-  final Map<String, List<Long>> endsNanos = new HashMap<>();
+  /** When servers crashed while running a request, by the request's path. */
+  final Map<String, List<Long>> crashNanos = new HashMap<>();
 
-  /** When requests reached servers, by path: one entry for a request of a caller. */
-  final Map<String, List<Long>> reachedNanos = new HashMap<>();
+  /** When requests first reached a server, by path; one entry per caller's request. */
+  final Map<String, List<Long>> arrivalNanos = new HashMap<>();
 
-  private final TimerQueue world = new TimerQueue();
+  private final TimerQueue simulatedEvents = new TimerQueue();
   private final Map<String, Server> servers = new HashMap<>();
   private final Set<String> counted = new HashSet<>();
   private final Random random;
@@ -62,11 +62,11 @@
       addServer(service(shard));
     }
     routers.forEach(Router::start);
-    // Past the first window of budgets.
+    // Skips the first window of the attempt budgets.
     advance(Duration.ofSeconds(11));
   }
 
-  /** A process that runs requests. */
+  /** A server process. */
   private static final class Server {
     final String service;
     final Map<ServerAttempt, Router> open = new HashMap<>();
@@ -77,12 +77,11 @@
     }
   }
 
-  /** One router. */
   final class Router implements RouterGroup, PeerGroup {
     final int number;
     boolean dead;
-    boolean cutOff;
-    private int life;
+    boolean partitioned;
+    private int incarnation;
     private ForwardFixture core;
     private ImmutableList<NearbyRouter> nearby = ImmutableList.of();
 
@@ -90,10 +89,10 @@
       this.number = number;
     }
 
-    /** Starts the process, which knows nothing but the servers. */
+    /** Starts the process. It knows the servers but no suspected requests. */
     void start() {
       dead = false;
-      life++;
+      incarnation++;
       core = new ForwardFixture(clock, id(), "zone-a", this, this::onSent);
       String[] services = new String[shards];
       for (int shard = 0; shard < shards; shard++) {
@@ -106,30 +105,30 @@
               core.server(id, server.service);
             }
           });
-      routers.forEach(Router::look);
+      routers.forEach(Router::refreshNearby);
     }
 
     void kill() {
       dead = true;
-      routers.forEach(Router::look);
+      routers.forEach(Router::refreshNearby);
       servers.values().forEach(server -> server.open.values().removeIf(by -> by == this));
     }
 
-    /** The last answer or error that a caller got here. */
+    /** The last answer or error returned by this router. */
     Either<QueryError, ForwardedAnswer> lastOutcome() {
       return core.outcomes.get(core.outcomes.size() - 1);
     }
 
-    /** Sends a request of a caller. */
-    void ask(String path) {
+    /** Submits a request as a caller. */
+    void sendRequest(String path) {
       core.submit("request-" + nextRequest++, path, ForwardFixture.TIMEOUT);
     }
 
-    private void look() {
+    private void refreshNearby() {
       ImmutableList.Builder<NearbyRouter> known = ImmutableList.builder();
       for (Router other : routers) {
         if (other != this && !other.dead) {
-          known.add(new NearbyRouter(other.id(), other.life, "zone-a", other.id(), 1));
+          known.add(new NearbyRouter(other.id(), other.incarnation, "zone-a", other.id(), 1));
         }
       }
       nearby = known.build();
@@ -140,11 +139,11 @@
     }
 
     private void onSent(ServerAttempt attempt) {
-      int sentIn = life;
-      world.schedule(
+      int sentByIncarnation = incarnation;
+      simulatedEvents.schedule(
           clock.nanoTime() + STEP.toNanos(),
           () -> {
-            if (!dead && sentIn == life) {
+            if (!dead && sentByIncarnation == incarnation) {
               arrive(attempt, this);
             }
           });
@@ -168,15 +167,16 @@
     @Override
     public void send(String address, PeerBody body) {
       Router to = routers.get(Integer.parseInt(address));
-      if (cutOff || to.cutOff || random.nextDouble() < loss) {
+      if (partitioned || to.partitioned || random.nextDouble() < loss) {
         return;
       }
       PeerMessage message =
           new PeerMessage(
-              new MemberRecord(id(), "zone-a", id(), 1, life, 0, MemberRecord.State.ALIVE), body);
-      long way = 1 + (long) (random.nextDouble() * LONGEST_WAY.toNanos());
-      world.schedule(
-          clock.nanoTime() + way,
+              new MemberRecord(id(), "zone-a", id(), 1, incarnation, 0, MemberRecord.State.ALIVE),
+              body);
+      long delayNanos = 1 + (long) (random.nextDouble() * MAXIMUM_MESSAGE_DELAY.toNanos());
+      simulatedEvents.schedule(
+          clock.nanoTime() + delayNanos,
           () -> {
             if (!to.dead) {
               to.core.coordinator.onPeerMessage(message);
@@ -188,7 +188,7 @@
   void advance(Duration length) {
     for (long millis = 0; millis < length.toMillis(); millis++) {
       clock.advance(STEP);
-      world.runDue(clock.nanoTime());
+      simulatedEvents.runDue(clock.nanoTime());
       for (Router router : routers) {
         if (!router.dead) {
           router.core.timers.runDue(clock.nanoTime());
@@ -197,8 +197,8 @@
     }
   }
 
-  /** Ends servers that no request has ended, as a rack that loses power does. */
-  void endServers(int count) {
+  /** Crashes random servers independently of requests, as when a rack loses power. */
+  void crashServers(int count) {
     List<String> running =
         new ArrayList<>(
             servers.keySet().stream().filter(id -> !servers.get(id).ended).sorted().toList());
@@ -207,33 +207,36 @@
     }
   }
 
-  /** How often a request's comings reached servers later than a bound after the third end. */
-  long comingsAfterThirdEnd(String path) {
-    List<Long> ends = endsNanos.getOrDefault(path, List.of());
+  /**
+   * Number of requests to a path that reached a server later than {@link #PROPAGATION_BOUND} after
+   * the third crash.
+   */
+  long arrivalsAfterThirdCrash(String path) {
+    List<Long> ends = crashNanos.getOrDefault(path, List.of());
     if (ends.size() < 3) {
       return 0;
     }
-    long boundNanos = ends.get(2) + CONTACT.toNanos();
-    return reachedNanos.get(path).stream().filter(nanos -> nanos > boundNanos).count();
+    long boundNanos = ends.get(2) + PROPAGATION_BOUND.toNanos();
+    return arrivalNanos.get(path).stream().filter(nanos -> nanos > boundNanos).count();
   }
 
   int ends(String path) {
-    return endsNanos.getOrDefault(path, List.of()).size();
+    return crashNanos.getOrDefault(path, List.of()).size();
   }
 
   private void arrive(ServerAttempt attempt, Router by) {
     Server server = servers.get(attempt.server().id());
     if (server.ended) {
-      tell(by, attempt, ServerFailure.UNREACHABLE);
+      reportFailure(by, attempt, ServerFailure.UNREACHABLE);
       return;
     }
     String path = attempt.request().target();
     if (counted.add(attempt.request().id())) {
-      reachedNanos.computeIfAbsent(path, key -> new ArrayList<>()).add(clock.nanoTime());
+      arrivalNanos.computeIfAbsent(path, key -> new ArrayList<>()).add(clock.nanoTime());
     }
     server.open.put(attempt, by);
-    world.schedule(
-        clock.nanoTime() + WORK.toNanos(),
+    simulatedEvents.schedule(
+        clock.nanoTime() + SERVICE_TIME.toNanos(),
         () -> finish(server, attempt, path.startsWith(CRASHING)));
   }
 
@@ -242,7 +245,7 @@
       return;
     }
     if (crashes) {
-      endsNanos
+      crashNanos
           .computeIfAbsent(attempt.request().target(), key -> new ArrayList<>())
           .add(clock.nanoTime());
       end(attempt.server().id());
@@ -259,9 +262,9 @@
     server.ended = true;
     Map<ServerAttempt, Router> open = new HashMap<>(server.open);
     server.open.clear();
-    open.forEach((attempt, by) -> tell(by, attempt, ServerFailure.BROKEN));
-    world.schedule(
-        clock.nanoTime() + BACK_AFTER.toNanos(),
+    open.forEach((attempt, by) -> reportFailure(by, attempt, ServerFailure.BROKEN));
+    simulatedEvents.schedule(
+        clock.nanoTime() + RESTART_DELAY.toNanos(),
         () -> {
           for (Router router : routers) {
             router.core.directory.onGone(id, clock.nanoTime(), clock.nanoTime());
@@ -270,7 +273,7 @@
         });
   }
 
-  private void tell(Router router, ServerAttempt attempt, ServerFailure failure) {
+  private void reportFailure(Router router, ServerAttempt attempt, ServerFailure failure) {
     if (!router.dead) {
       router.core.fail(attempt, failure);
     }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RefusalsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RefusalsTest.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** What the log tells of a request that was refused before it ran. */
+/** The log event of a request that was refused before it ran. */
 public final class RefusalsTest {
   private static final ForwardedRequest REQUEST =
       new ForwardedRequest(
@@ -36,7 +36,7 @@
   }
 
   @Test
-  public void aRefusalTellsByWhichVersionAndHowOldAViewItWas() {
+  public void refusalLogsConfigurationVersionAndViewAge() {
     RouterEvent.RequestEnded told = refuseBy(Optional.of(Duration.ofMillis(812)));
 
     assertThat(told.version()).isEqualTo(7);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  public void whereNothingWasKnownItSaysSo() {
+  public void unknownViewAgeIsLoggedAsNegative() {
     assertThat(refuseBy(Optional.empty()).viewAgeMs()).isNegative();
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ServerRestrictionsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ServerRestrictionsTest.java
@@ -9,7 +9,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Servers that a request must not reach: of other regions, of evacuated zones, cold ones. */
+/**
+ * Servers that a request must not reach: those in other regions, in evacuated zones, and cold
+ * servers at their limit.
+ */
 public final class ServerRestrictionsTest {
   private ForwardFixture fixture;
 
@@ -60,7 +63,7 @@
   }
 
   @Test
-  public void aRequestThatNoOtherZoneMayRunIsRefusedAtOnce() {
+  public void requestIsRefusedAtOnceWhenAllItsZonesAreEvacuated() {
     fixture.route(true, "s");
     fixture.directory.onEvacuated("zone-a");
     fixture.directory.onEvacuated("zone-b");
@@ -70,7 +73,7 @@
   }
 
   @Test
-  public void shardsOfAnEvacuatedZoneAreToldAsMissing() {
+  public void shardsOfAnEvacuatedZoneAreReportedAsMissing() {
     fixture.serverOf("zone-a", "n1", "s1");
     fixture.serverOf("zone-b", "n2", "s2");
     fixture.route(true, "s1", "s2");
@@ -82,13 +85,13 @@
   }
 
   @Test
-  public void aColdServerGetsNoMoreThanItBears() {
+  public void coldServerGetsNoMoreThanItsLimit() {
     fixture.coldRequestsPerSecond = 2;
     fixture.route(true, "s");
     cold("north", "zone-a");
     cold("south", "zone-b");
     submitMany();
-    // 1.5 x 2 + 5 = 8 a second and server, shared by four routers.
+    // 1.5 x 2 + 5 = 8 requests per second and server, shared by four routers.
     assertThat(fixture.sent).hasSizeBetween(2, 4);
     assertThat(fixture.outcomes).hasSize(20 - fixture.sent.size());
     assertThat(fixture.error(0).executed()).isEqualTo(Executed.NO);
