--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/AfterFailure.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/AfterFailure.java
@@ -21,14 +21,14 @@
   NO_BUDGET;
 
   /** Upper bound of a part's attempts per server, on average over its servers. */
-  private static final int SENDINGS_PER_SERVER = 2;
+  private static final int MAXIMUM_ATTEMPTS_PER_SERVER = 2;
 
   /** Decides for a part whose attempt has ended; a retry is charged to the budget. */
   static AfterFailure of(
       PartProgress part,
       boolean mayHaveRun,
       Route route,
-      RequestPace pace,
+      SelectionCriteria selectionCriteria,
       AttemptSender sender,
       long nowNanos) {
     if (!part.open().isEmpty()) {
@@ -37,23 +37,27 @@
     if (mayHaveRun && !route.repeatable()) {
       return NOT_REPEATABLE;
     }
-    if (part.maybeRun() >= route.maximumAttempts()) {
-      return askAgain(part, route, pace, sender, nowNanos);
+    if (part.possibleRuns() >= route.maximumAttempts()) {
+      return retryLostAnswer(part, route, selectionCriteria, sender, nowNanos);
     }
     if (part.sent() > route.maximumAttempts() + 1) {
       return TRIED_OFTEN_ENOUGH;
     }
-    if (sender.choose(part, pace).isEmpty()) {
+    if (sender.choose(part, selectionCriteria).isEmpty()) {
       return NO_OTHER_SERVER;
     }
     return sender.budgets().tryRetry(part.service(), nowNanos) ? RETRY : NO_BUDGET;
   }
 
   /** No further server may run the part, but one whose answer was lost may run it again. */
-  private static AfterFailure askAgain(
-      PartProgress part, Route route, RequestPace pace, AttemptSender sender, long nowNanos) {
-    boolean often = part.sent() >= SENDINGS_PER_SERVER * route.maximumAttempts();
-    if (often || sender.chooseAgain(part, pace).isEmpty()) {
+  private static AfterFailure retryLostAnswer(
+      PartProgress part,
+      Route route,
+      SelectionCriteria selectionCriteria,
+      AttemptSender sender,
+      long nowNanos) {
+    boolean exhausted = part.sent() >= MAXIMUM_ATTEMPTS_PER_SERVER * route.maximumAttempts();
+    if (exhausted || sender.chooseAmongLostAnswers(part, selectionCriteria).isEmpty()) {
       return NO_ATTEMPT_LEFT;
     }
     return sender.budgets().tryRetry(part.service(), nowNanos) ? RETRY : NO_BUDGET;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/AttemptBudgets.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/AttemptBudgets.java
@@ -10,22 +10,23 @@
    * Fraction of its share that a router may spend in its first window. It reserves the same
    * fraction later, so that two incarnations within one window do not exceed the share.
    */
-  private static final double YOUNG_PART = 0.3;
+  private static final double FIRST_WINDOW_FRACTION = 0.3;
 
   private ExtraAttemptRules rules;
-  private final ToDoubleFunction<String> allowancePart;
+  private final ToDoubleFunction<String> allowanceFraction;
   private final long startNanos;
   private final Map<String, ServiceBudget> budgets = new HashMap<>();
 
   /**
    * Creates budgets.
    *
-   * @param allowancePart this router's fraction of a service's allowance, from 0 to 1
+   * @param allowanceFraction this router's fraction of a service's allowance, from 0 to 1
    * @param startNanos when the process started, on the router's monotonic clock
    */
-  AttemptBudgets(ExtraAttemptRules rules, ToDoubleFunction<String> allowancePart, long startNanos) {
+  AttemptBudgets(
+      ExtraAttemptRules rules, ToDoubleFunction<String> allowanceFraction, long startNanos) {
     this.rules = rules;
-    this.allowancePart = allowancePart;
+    this.allowanceFraction = allowanceFraction;
     this.startNanos = startNanos;
   }
 
@@ -57,9 +58,9 @@
    * Smaller in the first window, as this router's previous incarnation may have spent its share.
    */
   private double share(String service, long nowNanos) {
-    boolean young = nowNanos - startNanos < rules.window().toNanos();
-    double part = young ? YOUNG_PART : 1 - YOUNG_PART;
-    return part * rules.allowance() * allowancePart.applyAsDouble(service);
+    boolean inFirstWindow = nowNanos - startNanos < rules.window().toNanos();
+    double part = inFirstWindow ? FIRST_WINDOW_FRACTION : 1 - FIRST_WINDOW_FRACTION;
+    return part * rules.allowance() * allowanceFraction.applyAsDouble(service);
   }
 
   private ServiceBudget of(String service) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/AttemptSender.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/AttemptSender.java
@@ -43,14 +43,14 @@
   private final ServerTransport transport;
   private final EventLog events;
   private final ToIntFunction<String> connectionShare;
-  private final Map<Long, Sent> sent = new HashMap<>();
-  private final SetMultimap<String, Waiter> waiters = LinkedHashMultimap.create();
+  private final Map<Long, InFlightAttempt> inFlight = new HashMap<>();
+  private final SetMultimap<String, WaitingPart> waitingParts = LinkedHashMultimap.create();
   private long nextNumber = 1;
 
-  private record Sent(
+  private record InFlightAttempt(
       ForwardExecution execution, PartProgress part, PartProgress.OpenAttempt open) {}
 
-  private record Waiter(ForwardExecution execution, PartProgress part) {}
+  private record WaitingPart(ForwardExecution execution, PartProgress part) {}
 
   AttemptSender(
       RouterClock clock,
@@ -97,7 +97,7 @@
   }
 
   /** The best server that the part has not tried and that has a free connection. */
-  Optional<ServerState> choose(PartProgress part, RequestPace pace) {
+  Optional<ServerState> choose(PartProgress part, SelectionCriteria selectionCriteria) {
     int share = connectionShare.applyAsInt(part.service());
     List<ServerState> withRoom = new ArrayList<>();
     for (ServerState server : usable(part)) {
@@ -105,7 +105,11 @@
         withRoom.add(server);
       }
     }
-    return chooser.choose(withRoom, pace.expectedNanos(), pace.otherZoneNanos(), clock.nanoTime());
+    return chooser.choose(
+        withRoom,
+        selectionCriteria.expectedNanos(),
+        selectionCriteria.otherZonePenaltyNanos(),
+        clock.nanoTime());
   }
 
   /**
@@ -114,31 +118,36 @@
    * resets can lose hundreds of answers while the servers behind them are healthy; with two
    * attempts for each shard, a search of a hundred shards then misses its minimum coverage.
    */
-  Optional<ServerState> chooseAgain(PartProgress part, RequestPace pace) {
+  Optional<ServerState> chooseAmongLostAnswers(
+      PartProgress part, SelectionCriteria selectionCriteria) {
     long nowNanos = clock.nanoTime();
     int share = connectionShare.applyAsInt(part.service());
     List<ServerState> withRoom = new ArrayList<>();
     for (ServerState server : directory.there(part.service(), nowNanos)) {
       boolean usable =
-          part.mayAskAgain(server)
+          part.hasLostAnswerOf(server)
               && options.allows(part.regions(), server.entry().zone())
               && coldServers.admits(server, nowNanos);
       if (usable && server.openAttempts() < share) {
         withRoom.add(server);
       }
     }
-    return chooser.choose(withRoom, pace.expectedNanos(), pace.otherZoneNanos(), nowNanos);
+    return chooser.choose(
+        withRoom,
+        selectionCriteria.expectedNanos(),
+        selectionCriteria.otherZonePenaltyNanos(),
+        nowNanos);
   }
 
   /** Whether the part has an untried server, so that it can wait for a free connection. */
-  boolean mayWait(PartProgress part) {
+  boolean hasUntriedServer(PartProgress part) {
     return usable(part).stream().anyMatch(server -> !part.hasTried(server));
   }
 
   /** Starts the part as soon as a server of its service has a free connection. */
-  void awaitRoom(ForwardExecution execution, PartProgress part) {
+  void awaitConnection(ForwardExecution execution, PartProgress part) {
     part.onWaiting();
-    waiters.put(part.service(), new Waiter(execution, part));
+    waitingParts.put(part.service(), new WaitingPart(execution, part));
   }
 
   void send(
@@ -154,16 +163,16 @@
             execution.isSearch());
     PartProgress.OpenAttempt open = new PartProgress.OpenAttempt(attempt, purpose, nowNanos);
     logSent(execution, part, server, open, nowNanos);
-    sent.put(number, new Sent(execution, part, open));
+    inFlight.put(number, new InFlightAttempt(execution, part, open));
     part.onSent(open);
     coldServers.onSent(server, nowNanos);
-    directory.onStarted(server.id(), number, nowNanos, stallBasis(execution));
+    directory.onStarted(server.id(), number, nowNanos, stallReferenceNanos(execution));
     timers.schedule(attempt.deadlineNanos() + SILENCE_SLACK_NANOS, () -> onSilent(number, attempt));
     transport.send(attempt);
   }
 
   void onReply(long number, ServerReply reply) {
-    Sent ended = sent.remove(number);
+    InFlightAttempt ended = inFlight.remove(number);
     if (ended == null) {
       return;
     }
@@ -173,10 +182,10 @@
       reply.load().ifPresent(load -> directory.onReport(server, load, nowNanos));
     }
     AttemptVerdict verdict = verdictOf(reply);
-    boolean measured = reply.isGood() && options.has(Mechanism.SPEED_MEMORY);
+    boolean measured = reply.isSuccess() && options.has(Mechanism.SPEED_MEMORY);
     double relative = measured ? relativeLatency(ended, nowNanos) : 0;
     directory.onEnded(server, number, verdict, relative, nowNanos);
-    if (reply.isGood()) {
+    if (reply.isSuccess()) {
       ended.execution().recordLatency(nowNanos - ended.open().startNanos(), nowNanos);
     }
     ended.part().onEnded(number, !reply.notRun());
@@ -184,30 +193,30 @@
       ended.execution().watch().onAnswered();
     }
     ended.execution().onReply(ended.part(), ended.open(), reply);
-    startWaiting(ended.part().service());
+    startWaitingParts(ended.part().service());
   }
 
   void onFailure(long number, ServerFailure failure) {
-    Sent ended = sent.remove(number);
+    InFlightAttempt ended = inFlight.remove(number);
     if (ended == null) {
       return;
     }
     long nowNanos = clock.nanoTime();
     String server = ended.open().attempt().server().id();
     directory.onEnded(server, number, verdictOf(failure), 0, nowNanos);
-    ended.part().onEnded(number, failure.maybeRun());
+    ended.part().onEnded(number, failure.mayHaveRun());
     if (failure == ServerFailure.BROKEN) {
       ended.execution().watch().onConnectionBroken(server);
     }
     ended.execution().onFailure(ended.part(), ended.open(), failure);
-    startWaiting(ended.part().service());
+    startWaitingParts(ended.part().service());
   }
 
   /** Cancels the part's open attempts. */
   void cancelAll(PartProgress part) {
     for (PartProgress.OpenAttempt open : ImmutableList.copyOf(part.open())) {
       long number = open.attempt().number();
-      Sent ended = sent.remove(number);
+      InFlightAttempt ended = inFlight.remove(number);
       if (ended != null) {
         long nowNanos = clock.nanoTime();
         transport.cancel(open.attempt());
@@ -215,54 +224,54 @@
         part.onEnded(number, true);
       }
     }
-    startWaiting(part.service());
+    startWaitingParts(part.service());
   }
 
   /** Fails the open attempts at a server whose process has ended. */
   void onServerEnded(String serverId) {
     List<Long> numbers =
-        sent.entrySet().stream()
+        inFlight.entrySet().stream()
             .filter(entry -> entry.getValue().open().attempt().server().id().equals(serverId))
             .map(Map.Entry::getKey)
             .toList();
     for (long number : numbers) {
       // The failure of one attempt may cancel others of its request.
-      if (sent.containsKey(number)) {
-        transport.cancel(sent.get(number).open().attempt());
+      if (inFlight.containsKey(number)) {
+        transport.cancel(inFlight.get(number).open().attempt());
         onFailure(number, ServerFailure.BROKEN);
       }
     }
   }
 
   private void onSilent(long number, ServerAttempt attempt) {
-    if (sent.containsKey(number)) {
+    if (inFlight.containsKey(number)) {
       transport.cancel(attempt);
       onFailure(number, ServerFailure.SILENT);
     }
   }
 
-  private void startWaiting(String service) {
-    for (Waiter waiter : ImmutableList.copyOf(waiters.get(service))) {
-      if (!waiter.part().isWaiting() || waiter.execution().isFinished()) {
-        waiters.remove(service, waiter);
-      } else if (choose(waiter.part(), waiter.execution().pace()).isPresent()) {
-        waiters.remove(service, waiter);
-        waiter.execution().startWaitingPart(waiter.part());
+  private void startWaitingParts(String service) {
+    for (WaitingPart waiting : ImmutableList.copyOf(waitingParts.get(service))) {
+      if (!waiting.part().isWaiting() || waiting.execution().isFinished()) {
+        waitingParts.remove(service, waiting);
+      } else if (choose(waiting.part(), waiting.execution().selectionCriteria()).isPresent()) {
+        waitingParts.remove(service, waiting);
+        waiting.execution().startWaitingPart(waiting.part());
       } else {
         return;
       }
     }
   }
 
-  private static double relativeLatency(Sent ended, long nowNanos) {
+  private static double relativeLatency(InFlightAttempt ended, long nowNanos) {
     double took = nowNanos - ended.open().startNanos();
-    return took / Math.max(1, ended.execution().pace().expectedNanos());
+    return took / Math.max(1, ended.execution().selectionCriteria().expectedNanos());
   }
 
   /** The expected duration of an attempt by which a stall of the server is detected. */
-  private long stallBasis(ForwardExecution execution) {
+  private long stallReferenceNanos(ForwardExecution execution) {
     return options.has(Mechanism.STALL_DETECTION)
-        ? execution.pace().expectedNanos()
+        ? execution.selectionCriteria().expectedNanos()
         : NEVER_STALLED_NANOS;
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/WayEstimate.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegationOverheadEstimate.java
@@ -7,17 +7,17 @@
  * both directions, and reading and writing the messages at both ends. Most of it is delay in this
  * router, so one estimate serves for all other routers.
  */
-final class WayEstimate {
+final class DelegationOverheadEstimate {
   /** Fraction of the objective used before the first measurement, while the code is still cold. */
-  private static final double UNMEASURED = 0.2;
+  private static final double INITIAL_FRACTION = 0.2;
 
   /** Lower bound, as a fraction of the objective; shorter measurements are not trusted. */
-  private static final double LEAST = 0.03;
+  private static final double MINIMUM_FRACTION = 0.03;
 
   /**
    * Upper bound, as a fraction of the objective; above it the other router would miss most parts.
    */
-  private static final double MOST = 0.4;
+  private static final double MAXIMUM_FRACTION = 0.4;
 
   private long lastNanos = -1;
   private long previousNanos = -1;
@@ -35,11 +35,11 @@
   long nanos(Duration objective) {
     long objectiveNanos = objective.toNanos();
     if (lastNanos < 0) {
-      return (long) (UNMEASURED * objectiveNanos);
+      return (long) (INITIAL_FRACTION * objectiveNanos);
     }
     long longer = Math.max(lastNanos, previousNanos);
-    long least = (long) (LEAST * objectiveNanos);
-    long most = (long) (MOST * objectiveNanos);
+    long least = (long) (MINIMUM_FRACTION * objectiveNanos);
+    long most = (long) (MAXIMUM_FRACTION * objectiveNanos);
     return Math.min(most, Math.max(least, longer));
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardExecution.java
@@ -21,7 +21,7 @@
 /** Runs one request from its admission to its final answer. */
 final class ForwardExecution {
   /** With less time left no server can answer: the network round trip alone takes this long. */
-  private static final long LEAST_TIME_NANOS = 3_000_000;
+  private static final long MINIMUM_TIME_LEFT_NANOS = 3_000_000;
 
   private final ForwardedRequest request;
   private final Route route;
@@ -38,14 +38,14 @@
   private final RouterClock clock;
   private final TimerQueue timers;
   private final RequestLog log;
-  private final Consumer<Either<QueryError, ForwardedAnswer>> sink;
+  private final Consumer<Either<QueryError, ForwardedAnswer>> callback;
   private final Hedging hedging;
   private final HandedParts handedParts;
   private final List<TimerQueue.Timer> ownTimers = new ArrayList<>();
   private Runnable onEnd = () -> {};
   private boolean started;
   private boolean finished;
-  private boolean late;
+  private boolean pastObjective;
 
   ForwardExecution(
       ForwardedRequest request,
@@ -61,7 +61,7 @@
       RouterClock clock,
       TimerQueue timers,
       EventLog events,
-      Consumer<Either<QueryError, ForwardedAnswer>> sink) {
+      Consumer<Either<QueryError, ForwardedAnswer>> callback) {
     this.request = request;
     this.route = route;
     this.routeState = routeState;
@@ -79,7 +79,7 @@
     this.clock = clock;
     this.timers = timers;
     this.log = new RequestLog(request, route, version, times, watch, clock, events);
-    this.sink = sink;
+    this.callback = callback;
     this.handedParts = new HandedParts(this, parts);
     this.hedging =
         new Hedging(this, route, routeState, times.objectiveNanos(), parts, sender, clock, timers);
@@ -105,12 +105,12 @@
 
   /** Whether the request can be answered now and its objective has not passed. */
   boolean isInTime() {
-    return !late && mayBeAnswered();
+    return !pastObjective && hasMinimumCoverage();
   }
 
   /** Whether enough parts are answered for the minimum coverage. */
-  boolean mayBeAnswered() {
-    return tally.isEnough();
+  boolean hasMinimumCoverage() {
+    return tally.hasMinimum();
   }
 
   /** Priority under overload; 0 is the highest. */
@@ -128,13 +128,13 @@
   }
 
   /** Time from the arrival until the caller gets its final answer at the latest. */
-  Duration timeLeft() {
-    return Duration.ofNanos(times.giveUpNanos() - times.arrivalNanos());
+  Duration responseTimeout() {
+    return Duration.ofNanos(times.responseDeadlineNanos() - times.arrivalNanos());
   }
 
   /** How long attempts of this route usually take, and how strongly its own zone is preferred. */
-  RequestPace pace() {
-    return RequestPace.of(
+  SelectionCriteria selectionCriteria() {
+    return SelectionCriteria.of(
         routeState.expectedNanos(route),
         route.objective(),
         sender.options().has(Mechanism.OWN_ZONE_FIRST));
@@ -163,15 +163,15 @@
     if (route.target() instanceof RouteTarget.AllShards search) {
       handOn(search.services());
     }
-    List<PartProgress> own = parts.stream().filter(part -> !part.isHandedOn()).toList();
+    List<PartProgress> own = parts.stream().filter(part -> !part.isDelegated()).toList();
     // A gatherer that runs delegated parts may know servers that this router does not.
-    if (own.size() == parts.size() && tally.isHopelessWith(reachableParts())) {
+    if (own.size() == parts.size() && tally.isBelowMinimum(reachableParts())) {
       finishWithError(ErrorKind.NOTHING_SELECTED, "too few services have a usable server");
       return;
     }
-    ownTimers.add(timers.schedule(times.giveUpNanos(), this::onGiveUp));
+    ownTimers.add(timers.schedule(times.responseDeadlineNanos(), this::onResponseDeadline));
     if (isSearch()) {
-      ownTimers.add(timers.schedule(times.attemptDeadlineNanos(), this::onAttemptsDue));
+      ownTimers.add(timers.schedule(times.attemptDeadlineNanos(), this::onAttemptDeadline));
     }
     if (sender.options().has(Mechanism.PARTIAL_ANSWERS)) {
       ownTimers.add(timers.schedule(times.objectiveNanos(), this::onObjective));
@@ -221,8 +221,8 @@
   /**
    * Counts parts that other routers have answered or lost, and finishes the request if possible.
    */
-  void onPartsEnded(int in, int lost) {
-    tally.onIn(in);
+  void onPartsEnded(int answered, int lost) {
+    tally.onAnswered(answered);
     tally.onLost(lost);
     finishIfPossible("every part is answered or lost");
   }
@@ -240,7 +240,7 @@
   /** Refuses a request that has not been started. */
   void refuse(String detail, Duration retryAfter) {
     finish("refused", ErrorKind.OVERLOADED.wireName(), detail);
-    tell(Either.left(QueryError.of(ErrorKind.OVERLOADED, detail).withRetryAfter(retryAfter)));
+    deliver(Either.left(QueryError.of(ErrorKind.OVERLOADED, detail).withRetryAfter(retryAfter)));
   }
 
   /** Cancels the attempts of a request whose caller has disconnected. */
@@ -261,36 +261,37 @@
 
   void onReply(PartProgress part, OpenAttempt attempt, ServerReply reply) {
     if (!finished && !part.isSettled()) {
-      takeReply(part, attempt, reply);
+      handleReply(part, attempt, reply);
     }
     settlePostponed();
   }
 
   private void settlePostponed() {
     if (!finished) {
-      postponed.settle(this::startPart, this::lose);
+      postponed.settle(this::startPart, this::giveUp);
     }
   }
 
-  private void takeReply(PartProgress part, OpenAttempt attempt, ServerReply reply) {
-    if (reply.isGood()) {
+  private void handleReply(PartProgress part, OpenAttempt attempt, ServerReply reply) {
+    if (reply.isSuccess()) {
       part.onAnswer(reply);
-      tally.onIn(1);
+      tally.onAnswered(1);
       finishIfPossible("every part is answered or lost");
       return;
     }
-    boolean passedOn = !reply.notRun() && !reply.misdirected() && reply.signature().isPresent();
-    if (passedOn) {
+    boolean signedResult = !reply.notRun() && !reply.misdirected() && reply.signature().isPresent();
+    if (signedResult) {
       part.onServerFailure(reply);
     }
-    if (passedOn && !reply.isServerFailure() && !isSearch()) {
+    if (signedResult && !reply.isServerFailure() && !isSearch()) {
       part.onAnswer(reply);
-      tally.onIn(1);
+      tally.onAnswered(1);
       finishIfPossible("the server refused the request");
       return;
     }
     String outcome = reply.misdirected() ? "misdirected" : reply.notRun() ? "not-run" : "failure";
-    tryAgain(part, attempt, outcome, reply.status(), !reply.notRun() && !reply.misdirected());
+    handleFailedAttempt(
+        part, attempt, outcome, reply.status(), !reply.notRun() && !reply.misdirected());
   }
 
   void onFailure(PartProgress part, OpenAttempt attempt, ServerFailure failure) {
@@ -298,7 +299,7 @@
       if (failure == ServerFailure.BROKEN) {
         part.onAnswerLost(attempt.attempt().server().id());
       }
-      tryAgain(part, attempt, failure.logName(), 0, failure.maybeRun());
+      handleFailedAttempt(part, attempt, failure.logName(), 0, failure.mayHaveRun());
     } else {
       log.attemptFailed(part, attempt, failure.logName(), 0, "the request is over");
     }
@@ -306,13 +307,13 @@
   }
 
   private void startPart(PartProgress part) {
-    if (times.attemptDeadlineNanos() - clock.nanoTime() < LEAST_TIME_NANOS) {
-      lose(part);
+    if (times.attemptDeadlineNanos() - clock.nanoTime() < MINIMUM_TIME_LEFT_NANOS) {
+      giveUp(part);
       return;
     }
     if (!mayRun()) {
       if (!postponed.tryPostpone(part)) {
-        lose(part);
+        giveUp(part);
       }
       return;
     }
@@ -320,32 +321,33 @@
     if (server.isPresent()) {
       AttemptPurpose purpose = part.sent() == 0 ? AttemptPurpose.FIRST : AttemptPurpose.RETRY;
       sender.send(this, part, server.get(), purpose);
-    } else if (sender.mayWait(part)) {
-      sender.awaitRoom(this, part);
+    } else if (sender.hasUntriedServer(part)) {
+      sender.awaitConnection(this, part);
     } else {
-      lose(part);
+      giveUp(part);
     }
   }
 
   /** An untried server; once the route's limit is reached, a server whose answer was lost. */
   private Optional<ServerState> chooseFor(PartProgress part) {
-    return part.maybeRun() < route.maximumAttempts()
-        ? sender.choose(part, pace())
-        : sender.chooseAgain(part, pace());
+    return part.possibleRuns() < route.maximumAttempts()
+        ? sender.choose(part, selectionCriteria())
+        : sender.chooseAmongLostAnswers(part, selectionCriteria());
   }
 
-  private void tryAgain(
+  private void handleFailedAttempt(
       PartProgress part, OpenAttempt attempt, String outcome, int status, boolean mayHaveRun) {
-    AfterFailure next = AfterFailure.of(part, mayHaveRun, route, pace(), sender, clock.nanoTime());
+    AfterFailure next =
+        AfterFailure.of(part, mayHaveRun, route, selectionCriteria(), sender, clock.nanoTime());
     log.attemptFailed(part, attempt, outcome, status, next.logName());
     if (next == AfterFailure.RETRY) {
       startPart(part);
     } else if (next != AfterFailure.WAIT) {
-      lose(part);
+      giveUp(part);
     }
   }
 
-  private void lose(PartProgress part) {
+  private void giveUp(PartProgress part) {
     part.onLost();
     tally.onLost(1);
     finishIfPossible("every part is answered or lost");
@@ -355,10 +357,10 @@
     if (finished) {
       return;
     }
-    if (tally.isHopeless()) {
-      finishHopeless();
-    } else if (tally.isSettled() || (late && tally.isEnough())) {
-      finishWithAnswer(late ? "past the objective" : reason);
+    if (tally.cannotReachMinimum()) {
+      finishWithoutMinimum();
+    } else if (tally.isSettled() || (pastObjective && tally.hasMinimum())) {
+      finishWithAnswer(pastObjective ? "past the objective" : reason);
     }
   }
 
@@ -367,34 +369,34 @@
       return;
     }
     lateness.record(clock.nanoTime() - Math.max(times.objectiveNanos(), times.arrivalNanos()));
-    late = true;
-    if (tally.isEnough()) {
+    pastObjective = true;
+    if (tally.hasMinimum()) {
       finishWithAnswer("the objective is due");
     }
   }
 
   /** Gives up parts that still wait for a connection: they can no longer be answered in time. */
-  private void onAttemptsDue() {
+  private void onAttemptDeadline() {
     for (PartProgress part : parts) {
       if (!finished && part.isWaiting()) {
-        lose(part);
+        giveUp(part);
       }
     }
   }
 
-  private void onGiveUp() {
+  private void onResponseDeadline() {
     if (!finished) {
       finishWithError(ErrorKind.DEADLINE_EXCEEDED, "no answer in time");
     }
   }
 
   private void finishWithAnswer(String reason) {
-    ForwardedAnswer answer = isSearch() ? merged() : passOn();
+    ForwardedAnswer answer = isSearch() ? merged() : serverAnswer();
     finish(tally.missing() > 0 ? "partial" : "answered", "", reason);
-    tell(Either.right(answer));
+    deliver(Either.right(answer));
   }
 
-  private ForwardedAnswer passOn() {
+  private ForwardedAnswer serverAnswer() {
     return new ForwardedAnswer.FromServer(parts.get(0).answer().orElseThrow());
   }
 
@@ -403,11 +405,11 @@
     return PartMerger.merge(parts, handedParts.answers(), tally.missing(), limit);
   }
 
-  private void finishHopeless() {
+  private void finishWithoutMinimum() {
     Optional<ServerReply> failure = isSearch() ? Optional.empty() : parts.get(0).failure();
     if (failure.isPresent()) {
       finish("failed", "", "the server's error response is passed on");
-      tell(Either.right(new ForwardedAnswer.FromServer(failure.get())));
+      deliver(Either.right(new ForwardedAnswer.FromServer(failure.get())));
     } else if (watch.isSuspected()) {
       finishWithError(ErrorKind.ENDS_SERVERS, "servers that ran this request have ended");
     } else if (!mayRun()) {
@@ -425,11 +427,11 @@
         kind.retryable() ? Optional.of(times.retryAfter()) : Optional.empty();
     QueryError error = new QueryError(kind, detail, executed, retryAfter);
     finish(executed == Executed.NO ? "refused" : "failed", kind.wireName(), detail);
-    tell(Either.left(error));
+    deliver(Either.left(error));
   }
 
-  private void tell(Either<QueryError, ForwardedAnswer> outcome) {
-    sink.accept(outcome);
+  private void deliver(Either<QueryError, ForwardedAnswer> outcome) {
+    callback.accept(outcome);
     onEnd.run();
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/HandedParts.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/HandedParts.java
@@ -26,7 +26,7 @@
     asked++;
     for (Delegator.Handed group : delegator.handOn(search, this)) {
       groups.add(group);
-      partsOf(group).forEach(PartProgress::onHandedOn);
+      partsOf(group).forEach(PartProgress::onDelegated);
     }
   }
 
@@ -47,7 +47,7 @@
     }
     answers.add(answer);
     List<PartProgress> ended = partsOf(group);
-    ended.forEach(PartProgress::onAnsweredElsewhere);
+    ended.forEach(PartProgress::onAnsweredByDelegate);
     if (answer.missingParts() < ended.size()) {
       execution.watch().onAnswered();
     }
@@ -61,11 +61,11 @@
     }
     List<PartProgress> back = partsOf(group);
     groups.remove(group);
-    back.forEach(PartProgress::onTakenBack);
+    back.forEach(PartProgress::onDeclined);
     if (asked < DELEGATES_TO_ASK) {
       execution.handOn(group.shards());
     }
-    execution.startFirst(back.stream().filter(part -> !part.isHandedOn()).toList());
+    execution.startFirst(back.stream().filter(part -> !part.isDelegated()).toList());
   }
 
   @Override
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Hedging.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Hedging.java
@@ -10,18 +10,18 @@
 /** Sends second attempts for the slow parts of one request. */
 final class Hedging {
   /** A part that was denied a hedge is checked this many times for each hedge delay. */
-  private static final int RECHECKS = 4;
+  private static final int RECHECKS_PER_DELAY = 4;
 
-  private static final long SHORTEST_RECHECK_NANOS = 2_000_000;
+  private static final long MINIMUM_RECHECK_NANOS = 2_000_000;
 
   /**
    * With a smaller fraction of a search's parts answered, this router itself or the network to all
    * servers is slow, and hedges would make it slower.
    */
-  private static final double LEAST_ANSWERED = 0.5;
+  private static final double MINIMUM_ANSWERED_FRACTION = 0.5;
 
   /** With fewer parts, the others do not show whether a single one is slow. */
-  private static final int FEWEST_PARTS_TO_COMPARE = 4;
+  private static final int MINIMUM_PARTS_TO_COMPARE = 4;
 
   private final ForwardExecution execution;
   private final Route route;
@@ -73,7 +73,7 @@
 
   private void scheduleCheck(long dueNanos) {
     stop();
-    if (dueNanos < objectiveNanos || !execution.mayBeAnswered()) {
+    if (dueNanos < objectiveNanos || !execution.hasMinimumCoverage()) {
       nextCheck = Optional.of(timers.schedule(dueNanos, this::check));
     }
   }
@@ -81,8 +81,8 @@
   private void check() {
     long nowNanos = clock.nanoTime();
     long delay = routeState.hedgeDelayNanos(route);
-    long recheck = Math.max(delay / RECHECKS, SHORTEST_RECHECK_NANOS);
-    if (areAllLate()) {
+    long recheck = Math.max(delay / RECHECKS_PER_DELAY, MINIMUM_RECHECK_NANOS);
+    if (areTooFewAnswered()) {
       scheduleCheck(nowNanos + recheck);
       return;
     }
@@ -103,24 +103,24 @@
     }
   }
 
-  private boolean areAllLate() {
+  private boolean areTooFewAnswered() {
     int started = 0;
     int answered = 0;
     for (PartProgress part : parts) {
       started += part.sent() > 0 ? 1 : 0;
       answered += part.isAnswered() ? 1 : 0;
     }
-    return started >= FEWEST_PARTS_TO_COMPARE && answered < LEAST_ANSWERED * started;
+    return started >= MINIMUM_PARTS_TO_COMPARE && answered < MINIMUM_ANSWERED_FRACTION * started;
   }
 
   private boolean hedge(PartProgress part, long nowNanos) {
     if (!execution.mayRun()) {
       return part.denyHedge("the key may have been revoked");
     }
-    if (part.maybeRun() >= route.maximumAttempts()) {
+    if (part.possibleRuns() >= route.maximumAttempts()) {
       return part.denyHedge("no attempt left");
     }
-    Optional<ServerState> server = sender.choose(part, execution.pace());
+    Optional<ServerState> server = sender.choose(part, execution.selectionCriteria());
     if (server.isEmpty()) {
       return part.denyHedge("no other server");
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
@@ -26,7 +26,7 @@
   private final DelegateChooser chooser;
   private final DelegateTransport transport;
   private final EventLog events;
-  private final WayEstimate way = new WayEstimate();
+  private final DelegationOverheadEstimate way = new DelegationOverheadEstimate();
   private final Map<Long, Group> groups = new HashMap<>();
   private long nextNumber = 1;
 
@@ -58,7 +58,8 @@
     DelegateState state = chooser.state(choice.delegate());
     RequestTimes times = search.times();
     long silentNanos =
-        Math.min(times.giveUpNanos(), times.attemptDeadlineNanos() + SILENCE_SLACK.toNanos());
+        Math.min(
+            times.responseDeadlineNanos(), times.attemptDeadlineNanos() + SILENCE_SLACK.toNanos());
     TimerQueue.Timer silence =
         timers.schedule(silentNanos, () -> onFailure(number, DelegateFailure.SILENT));
     Group group = new Group(number, search, choice, state, listener, silence);
@@ -73,7 +74,7 @@
             search.request(),
             search.version(),
             partsOf(search, choice),
-            Duration.ofNanos(Math.max(1, times.giveUpNanos() - nowNanos - kept)),
+            Duration.ofNanos(Math.max(1, times.responseDeadlineNanos() - nowNanos - kept)),
             Duration.ofNanos(times.objectiveNanos() - nowNanos - kept),
             search.isProven()));
     return group;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartMerger.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartMerger.java
@@ -12,12 +12,15 @@
    * Merges the answer of a search.
    *
    * @param parts all parts of the search; those that servers answered here are merged
-   * @param elsewhere merged answers of other routers
+   * @param mergedAnswers merged answers of other routers
    * @param missing number of shards that neither contains
    * @param limit maximum number of records
    */
   static ForwardedAnswer.Merged merge(
-      List<PartProgress> parts, List<ForwardedAnswer.Merged> elsewhere, int missing, int limit) {
+      List<PartProgress> parts,
+      List<ForwardedAnswer.Merged> mergedAnswers,
+      int missing,
+      int limit) {
     ImmutableList.Builder<String> signatures = ImmutableList.builder();
     List<Payload> records = new ArrayList<>();
     for (PartProgress part : parts) {
@@ -26,7 +29,7 @@
         records.add(part.answer().get().body());
       }
     }
-    for (ForwardedAnswer.Merged merged : elsewhere) {
+    for (ForwardedAnswer.Merged merged : mergedAnswers) {
       signatures.addAll(merged.signatures());
       records.add(merged.records());
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartProgress.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartProgress.java
@@ -16,17 +16,17 @@
   private final String service;
   private final ImmutableSet<String> regions;
   private final Set<String> tried = new HashSet<>();
-  private final Set<String> answersLost = new HashSet<>();
+  private final Set<String> lostAnswerServers = new HashSet<>();
   private final List<OpenAttempt> open = new ArrayList<>();
   private Optional<ServerReply> answer = Optional.empty();
   private Optional<ServerReply> failure = Optional.empty();
   private String hedgeDenied = "";
   private boolean lost;
-  private boolean handedOn;
-  private boolean answeredElsewhere;
+  private boolean delegated;
+  private boolean answeredByDelegate;
   private boolean waiting;
   private int sent;
-  private int maybeRun;
+  private int possibleRuns;
 
   /**
    * An attempt that has not ended.
@@ -59,12 +59,12 @@
 
   /** Records that a connection broke before the answer was complete; the server may be healthy. */
   void onAnswerLost(String server) {
-    answersLost.add(server);
+    lostAnswerServers.add(server);
   }
 
   /** Whether an answer of this server to the part was lost. */
-  boolean mayAskAgain(ServerState server) {
-    return answersLost.contains(server.id());
+  boolean hasLostAnswerOf(ServerState server) {
+    return lostAnswerServers.contains(server.id());
   }
 
   List<OpenAttempt> open() {
@@ -86,12 +86,12 @@
 
   /** Whether a server, or the router that it was delegated to, has answered it. */
   boolean isAnswered() {
-    return answeredElsewhere || answer.isPresent();
+    return answeredByDelegate || answer.isPresent();
   }
 
   /** Whether it is delegated to another router. */
-  boolean isHandedOn() {
-    return handedOn;
+  boolean isDelegated() {
+    return delegated;
   }
 
   boolean isLost() {
@@ -107,22 +107,22 @@
   }
 
   /** Attempts that ran or may have run, including open ones and a delegation. */
-  int maybeRun() {
-    return maybeRun + open.size() + (handedOn ? 1 : 0);
+  int possibleRuns() {
+    return possibleRuns + open.size() + (delegated ? 1 : 0);
   }
 
-  void onHandedOn() {
-    handedOn = true;
+  void onDelegated() {
+    delegated = true;
   }
 
   /** Records that the other router has not run it and never will. */
-  void onTakenBack() {
-    handedOn = false;
+  void onDeclined() {
+    delegated = false;
   }
 
   /** Records that the other router has answered; its answer may lack this part. */
-  void onAnsweredElsewhere() {
-    answeredElsewhere = true;
+  void onAnsweredByDelegate() {
+    answeredByDelegate = true;
   }
 
   void onWaiting() {
@@ -139,7 +139,7 @@
   void onEnded(long number, boolean mayHaveRun) {
     open.removeIf(attempt -> attempt.attempt().number() == number);
     if (mayHaveRun) {
-      maybeRun++;
+      possibleRuns++;
     }
   }
 
@@ -163,7 +163,7 @@
 
   /** Describes for operators why there is no answer yet. */
   RouterEvent.MissingPart describeMissing(long nowNanos) {
-    String state = lost ? "lost" : handedOn ? "delegated" : isWaiting() ? "waiting" : "open";
+    String state = lost ? "lost" : delegated ? "delegated" : isWaiting() ? "waiting" : "open";
     ImmutableList<String> attempts =
         open.stream()
             .map(
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartTally.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartTally.java
@@ -7,7 +7,7 @@
 final class PartTally {
   private final ImmutableList<PartProgress> parts;
   private final int minimum;
-  private int in;
+  private int answered;
   private int lost;
 
   /**
@@ -24,12 +24,12 @@
     return parts;
   }
 
-  int in() {
-    return in;
+  int answered() {
+    return answered;
   }
 
-  void onIn(int more) {
-    in += more;
+  void onAnswered(int more) {
+    answered += more;
   }
 
   void onLost(int more) {
@@ -37,27 +37,27 @@
   }
 
   /** Whether enough parts are answered for an answer. */
-  boolean isEnough() {
-    return in >= minimum;
+  boolean hasMinimum() {
+    return answered >= minimum;
   }
 
   /** Whether too many parts are lost for an answer. */
-  boolean isHopeless() {
-    return isHopelessWith(parts.size() - lost);
+  boolean cannotReachMinimum() {
+    return isBelowMinimum(parts.size() - lost);
   }
 
   /** Whether this number of parts is too small for an answer. */
-  boolean isHopelessWith(int reachable) {
+  boolean isBelowMinimum(int reachable) {
     return reachable < minimum;
   }
 
   /** Whether every part is answered or lost. */
   boolean isSettled() {
-    return in + lost == parts.size();
+    return answered + lost == parts.size();
   }
 
   int missing() {
-    return parts.size() - in;
+    return parts.size() - answered;
   }
 
   /** Number of attempts sent for all parts. */
@@ -67,7 +67,7 @@
 
   /** Whether it is certain that no server has run any part. */
   boolean isProvenNotRun() {
-    return parts.stream().allMatch(part -> part.maybeRun() == 0);
+    return parts.stream().allMatch(part -> part.possibleRuns() == 0);
   }
 
   /** Describes for operators what was done for the parts that are not answered. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PostponedParts.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PostponedParts.java
@@ -36,7 +36,7 @@
   }
 
   /** Called after an attempt has ended: starts parts that may run, or gives up if none is open. */
-  void settle(Consumer<PartProgress> start, Consumer<PartProgress> lose) {
+  void settle(Consumer<PartProgress> start, Consumer<PartProgress> giveUp) {
     if (postponed.isEmpty()) {
       return;
     }
@@ -48,7 +48,7 @@
     postponed.clear();
     settled.stream()
         .filter(part -> !part.isSettled())
-        .forEach(part -> (mayRun ? start : lose).accept(part));
+        .forEach(part -> (mayRun ? start : giveUp).accept(part));
   }
 
   private boolean isAnyOpen() {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestLog.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestLog.java
@@ -83,7 +83,7 @@
             outcome,
             error,
             reason,
-            tally.in(),
+            tally.answered(),
             asked,
             sent,
             Math.max(0, sent - asked),
@@ -98,6 +98,6 @@
   }
 
   double leftMillis(long nowNanos) {
-    return (times.giveUpNanos() - nowNanos) / NANOS_PER_MILLI;
+    return (times.responseDeadlineNanos() - nowNanos) / NANOS_PER_MILLI;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestTimes.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestTimes.java
@@ -7,40 +7,40 @@
  * The points in time of one request, on the router's monotonic clock.
  *
  * @param objectiveNanos when an answer must be sent to reach the caller with its full value
- * @param giveUpNanos when the caller gets its final answer at the latest
+ * @param responseDeadlineNanos when the caller gets its final answer at the latest
  * @param attemptDeadlineNanos when servers should stop
  * @param retryAfter how long a refused caller should wait before it retries
  */
 record RequestTimes(
     long arrivalNanos,
     long objectiveNanos,
-    long giveUpNanos,
+    long responseDeadlineNanos,
     long attemptDeadlineNanos,
     Duration retryAfter) {
   /**
    * Time reserved for the network and this router's own delays: 3 ms from and 3 ms to the caller, 1
    * ms of timer delay, 1 ms to write the answer.
    */
-  private static final Duration WAY = Duration.ofMillis(8);
+  private static final Duration DELIVERY_RESERVE = Duration.ofMillis(8);
 
   /** Reserved in addition, as a fraction of the objective. */
-  private static final double WAY_FRACTION = 0.05;
+  private static final double DELIVERY_RESERVE_FRACTION = 0.05;
 
   /** Margin in which the final answer reaches the caller before it stops waiting. */
-  private static final Duration BEFORE_DEADLINE = Duration.ofMillis(15);
+  private static final Duration DEADLINE_MARGIN = Duration.ofMillis(15);
 
   /** Servers of a search may work for at least this many objectives, as the answer may be late. */
-  private static final int OBJECTIVES_FOR_ATTEMPT = 2;
+  private static final int MINIMUM_ATTEMPT_OBJECTIVES = 2;
 
   /**
    * Fraction of the caller's waiting time for which servers of a search may work. A search that
    * lacks a few parts of its minimum coverage after two objectives would otherwise fail although
    * its caller waits much longer.
    */
-  private static final double SEARCH_FRACTION = 0.5;
+  private static final double SEARCH_ATTEMPT_FRACTION = 0.5;
 
   /** Shortest retry delay, as a fraction of the objective. */
-  private static final double SHORTEST_RETRY_AFTER = 0.4;
+  private static final double MINIMUM_RETRY_AFTER_FRACTION = 0.4;
 
   /**
    * Computes the times of a request.
@@ -58,38 +58,46 @@
       boolean search,
       double random) {
     Duration objective = route.objective();
-    long way = WAY.toNanos() + (long) (WAY_FRACTION * objective.toNanos());
-    long objectiveNanos = arrivalNanos + objective.minus(spent).toNanos() - way;
-    Duration patience = timeLeft.minus(BEFORE_DEADLINE);
-    Duration held = patience.compareTo(route.timeout()) < 0 ? patience : route.timeout();
-    long giveUpNanos = arrivalNanos + Math.max(1, held.toNanos());
-    long useful = usefulNanos(OBJECTIVES_FOR_ATTEMPT, objective, held);
-    long attemptDeadline = search ? Math.min(giveUpNanos, arrivalNanos + useful) : giveUpNanos;
+    long deliveryReserveNanos =
+        DELIVERY_RESERVE.toNanos() + (long) (DELIVERY_RESERVE_FRACTION * objective.toNanos());
+    long objectiveNanos = arrivalNanos + objective.minus(spent).toNanos() - deliveryReserveNanos;
+    Duration callerWait = timeLeft.minus(DEADLINE_MARGIN);
+    Duration maximumWait = callerWait.compareTo(route.timeout()) < 0 ? callerWait : route.timeout();
+    long responseDeadlineNanos = arrivalNanos + Math.max(1, maximumWait.toNanos());
+    long attemptNanos = attemptNanos(MINIMUM_ATTEMPT_OBJECTIVES, objective, maximumWait);
+    long attemptDeadline =
+        search
+            ? Math.min(responseDeadlineNanos, arrivalNanos + attemptNanos)
+            : responseDeadlineNanos;
     Duration retryAfter = retryAfter(objective, random);
-    return new RequestTimes(arrivalNanos, objectiveNanos, giveUpNanos, attemptDeadline, retryAfter);
+    return new RequestTimes(
+        arrivalNanos, objectiveNanos, responseDeadlineNanos, attemptDeadline, retryAfter);
   }
 
   /** Computes the times of a search that another router has delegated to this one. */
   static RequestTimes ofDelegated(
       Route route, long arrivalNanos, DelegatedSearch search, double random) {
-    long giveUpNanos = arrivalNanos + Math.max(1, search.timeLeft().toNanos());
+    long responseDeadlineNanos = arrivalNanos + Math.max(1, search.timeLeft().toNanos());
     long objectiveNanos = arrivalNanos + search.objectiveLeft().toNanos();
-    long useful = usefulNanos(OBJECTIVES_FOR_ATTEMPT - 1, route.objective(), search.timeLeft());
-    long attemptDeadline = Math.min(giveUpNanos, Math.max(arrivalNanos, objectiveNanos) + useful);
+    long attemptNanos =
+        attemptNanos(MINIMUM_ATTEMPT_OBJECTIVES - 1, route.objective(), search.timeLeft());
+    long attemptDeadline =
+        Math.min(responseDeadlineNanos, Math.max(arrivalNanos, objectiveNanos) + attemptNanos);
     return new RequestTimes(
         arrivalNanos,
         objectiveNanos,
-        giveUpNanos,
+        responseDeadlineNanos,
         attemptDeadline,
         retryAfter(route.objective(), random));
   }
 
-  private static long usefulNanos(int objectives, Duration objective, Duration held) {
-    return Math.max(objectives * objective.toNanos(), (long) (SEARCH_FRACTION * held.toNanos()));
+  private static long attemptNanos(int objectives, Duration objective, Duration maximumWait) {
+    return Math.max(
+        objectives * objective.toNanos(), (long) (SEARCH_ATTEMPT_FRACTION * maximumWait.toNanos()));
   }
 
   private static Duration retryAfter(Duration objective, double random) {
-    double fraction = SHORTEST_RETRY_AFTER + (1 - SHORTEST_RETRY_AFTER) * random;
+    double fraction = MINIMUM_RETRY_AFTER_FRACTION + (1 - MINIMUM_RETRY_AFTER_FRACTION) * random;
     return Duration.ofMillis((long) (fraction * objective.toMillis()));
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchAdmission.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchAdmission.java
@@ -94,11 +94,11 @@
   }
 
   private static long longestWaitNanos(ForwardExecution search) {
-    return (long) (LONGEST_WAIT_FRACTION * search.timeLeft().toNanos());
+    return (long) (LONGEST_WAIT_FRACTION * search.responseTimeout().toNanos());
   }
 
   private Duration retryAfter(ForwardExecution search) {
-    long longest = (long) (LONGEST_RETRY_AFTER_FRACTION * search.timeLeft().toNanos());
+    long longest = (long) (LONGEST_RETRY_AFTER_FRACTION * search.responseTimeout().toNanos());
     long wanted =
         Math.max(search.objective().toNanos(), slowStart.left(clock.nanoTime()).toNanos());
     double spread = 1 - SPREAD * random.nextDouble();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerFailure.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerFailure.java
@@ -15,10 +15,10 @@
   /** No answer came by the attempt's deadline. */
   SILENT(true);
 
-  private final boolean maybeRun;
+  private final boolean mayHaveRun;
 
-  ServerFailure(boolean maybeRun) {
-    this.maybeRun = maybeRun;
+  ServerFailure(boolean mayHaveRun) {
+    this.mayHaveRun = mayHaveRun;
   }
 
   /** The name in logs: lower case, with hyphens. */
@@ -27,7 +27,7 @@
   }
 
   /** Whether the server may have run the request. */
-  public boolean maybeRun() {
-    return maybeRun;
+  public boolean mayHaveRun() {
+    return mayHaveRun;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerReply.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerReply.java
@@ -8,7 +8,7 @@
  * A complete answer of a server.
  *
  * @param status HTTP status
- * @param own whether it answers the request just sent, not an earlier one
+ * @param answersRequest whether it answers the request just sent, not an earlier one
  * @param signature the server's signature of the answer
  * @param notRun whether the server guarantees that the request did not run
  * @param misdirected whether a server other than the addressed one answered
@@ -17,7 +17,7 @@
  */
 public record ServerReply(
     int status,
-    boolean own,
+    boolean answersRequest,
     Optional<String> signature,
     boolean notRun,
     boolean misdirected,
@@ -29,13 +29,13 @@
   private static final int FIRST_SERVER_ERROR = 500;
 
   /** Whether it is a signed success (2xx). */
-  public boolean isGood() {
+  public boolean isSuccess() {
     return status >= FIRST_SUCCESS && status < FIRST_REDIRECT && signature.isPresent();
   }
 
   /** Whether the server guarantees that it ran the request to its end, successfully or not. */
   boolean hasRun() {
-    return own && signature.isPresent() && !notRun && !misdirected;
+    return answersRequest && signature.isPresent() && !notRun && !misdirected;
   }
 
   /** Whether it is a server error (5xx), so that another server may succeed. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServiceBudget.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServiceBudget.java
@@ -6,19 +6,19 @@
  */
 final class ServiceBudget {
   /** Leaves a margin, since routers see router counts and arrivals at slightly different times. */
-  private static final double SAFETY = 0.85;
+  private static final double SAFETY_FACTOR = 0.85;
 
   /** Fraction that hedges leave for retries, without which a request would fail. */
-  private static final double KEPT_FOR_RETRIES = 0.25;
+  private static final double RETRY_RESERVE_FRACTION = 0.25;
 
   private final ExtraAttemptRules rules;
-  private final SlidingCount requests;
-  private final SlidingCount extras;
+  private final SlidingWindowCounter requests;
+  private final SlidingWindowCounter extras;
 
   ServiceBudget(ExtraAttemptRules rules) {
     this.rules = rules;
-    this.requests = new SlidingCount(rules.window().toNanos());
-    this.extras = new SlidingCount(rules.window().toNanos());
+    this.requests = new SlidingWindowCounter(rules.window().toNanos());
+    this.extras = new SlidingWindowCounter(rules.window().toNanos());
   }
 
   void onRequest(long nowNanos) {
@@ -35,12 +35,12 @@
   }
 
   boolean tryHedge(double share, long nowNanos) {
-    double kept = KEPT_FOR_RETRIES * total(share, nowNanos);
+    double kept = RETRY_RESERVE_FRACTION * total(share, nowNanos);
     return take(left(share, nowNanos) - kept, nowNanos);
   }
 
   private double total(double share, long nowNanos) {
-    return SAFETY * (rules.ratio() * requests.count(nowNanos) + share);
+    return SAFETY_FACTOR * (rules.ratio() * requests.count(nowNanos) + share);
   }
 
   private boolean take(double left, long nowNanos) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/SlidingCount.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/SlidingWindowCounter.java
@@ -3,7 +3,7 @@
 /**
  * Counts events in a sliding window of slices. A slice counts until all of it has left the window.
  */
-final class SlidingCount {
+final class SlidingWindowCounter {
   private static final int SLICES = 50;
 
   private final long sliceNanos;
@@ -11,7 +11,7 @@
   private long newestSlice = Long.MIN_VALUE;
   private int sum;
 
-  SlidingCount(long windowNanos) {
+  SlidingWindowCounter(long windowNanos) {
     this.sliceNanos = windowNanos / SLICES;
   }
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashGuardTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashGuardTest.java
@@ -203,7 +203,7 @@
     router.answer(router.last());
 
     assertThat(router.sent).hasSize(4);
-    assertThat(router.passedOn(3).isGood()).isTrue();
+    assertThat(router.passedOn(3).isSuccess()).isTrue();
   }
 
   /** Lets three and more servers end under the request, none of which answers. */
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/WayEstimateTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/DelegationOverheadEstimateTest.java
@@ -6,10 +6,10 @@
 import org.testng.annotations.Test;
 
 /** What a router keeps back of the objective for handing a search on. */
-public final class WayEstimateTest {
+public final class DelegationOverheadEstimateTest {
   private static final Duration OBJECTIVE = Duration.ofMillis(100);
 
-  private final WayEstimate unmeasured = new WayEstimate();
+  private final DelegationOverheadEstimate unmeasured = new DelegationOverheadEstimate();
 
   @Test
   public void aColdRouterKeepsAFifth() {
@@ -29,8 +29,8 @@
     assertThat(estimate(0).nanos(OBJECTIVE)).isEqualTo(millis(3));
   }
 
-  private static WayEstimate estimate(long... ways) {
-    WayEstimate estimate = new WayEstimate();
+  private static DelegationOverheadEstimate estimate(long... ways) {
+    DelegationOverheadEstimate estimate = new DelegationOverheadEstimate();
     for (long way : ways) {
       estimate.record(millis(way));
     }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardProperties.java
@@ -164,7 +164,7 @@
         return;
       }
       open.remove(attempt.number());
-      if (!failure.maybeRun()) {
+      if (!failure.mayHaveRun()) {
         provenNotRun.add(attempt.number());
       }
       fixture.fail(attempt, failure);
--- a/arrowarch-node/src/main/java/io/arrowarch/node/forward/ServerClient.java
+++ b/arrowarch-node/src/main/java/io/arrowarch/node/forward/ServerClient.java
@@ -140,7 +140,7 @@
       ServerReply reply =
           codec.decode(
               attempt, response.statusCode(), response.headers(), Payload.of(body.getBytes()));
-      if (!reply.own()) {
+      if (!reply.answersRequest()) {
         fail(ServerFailure.GARBLED);
         return;
       }
