--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/AttemptBudgetsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/AttemptBudgetsTest.java
@@ -5,7 +5,10 @@
 import java.time.Duration;
 import org.testng.annotations.Test;
 
-/** What routers may spend on extra attempts, also when all of them have just started anew. */
+/**
+ * Bounds of the extra attempts of all routers. When all of them restart within one window, both
+ * incarnations together could exceed the allowance of that window.
+ */
 public final class AttemptBudgetsTest {
   private static final ExtraAttemptRules RULES =
       new ExtraAttemptRules(0.2, 230, Duration.ofSeconds(10));
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/DelegationOverheadEstimateTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/DelegationOverheadEstimateTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import org.testng.annotations.Test;
 
-/** What a router keeps back of the objective for handing a search on. */
+/** The part of the objective that a router reserves for the overhead of a delegation. */
 public final class DelegationOverheadEstimateTest {
   private static final Duration OBJECTIVE = Duration.ofMillis(100);
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardFixture.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardFixture.java
@@ -29,13 +29,13 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
-/** A coordinator in virtual time whose attempts wait for the test to answer them. */
+/** A coordinator in virtual time; its attempts stay open until the test answers them. */
 final class ForwardFixture implements ServerTransport {
   static final Duration OBJECTIVE = Duration.ofMillis(200);
   static final Duration TIMEOUT = Duration.ofSeconds(2);
   static final int CONNECTIONS = 40;
 
-  /** Keys that are taken away run nothing after three seconds. */
+  /** Requests of a revoked API key must not run more than three seconds after the revocation. */
   static final TenantRules RULES =
       new TenantRules(
           new RevocationRules(true, Duration.ofSeconds(3)),
@@ -55,22 +55,22 @@
   private final Consumer<ServerAttempt> onSent;
   private int nextRequest = 1;
 
-  /** Of routes that are set from now on. */
+  /** Regions of routes that are configured from now on. */
   ImmutableSet<String> regions = ImmutableSet.of();
 
-  /** Whether routes that are set from now on need no key. */
+  /** Whether routes that are configured from now on need no API key. */
   boolean isPublic;
 
-  /** Of configurations that are set from now on. */
+  /** Tenants of configurations that are set from now on. */
   ImmutableList<Tenant> tenants = ImmutableList.of();
 
-  /** How old the router's view is. */
+  /** Age of the router's view of the store; empty if unknown. */
   Optional<Duration> viewAge = Optional.of(Duration.ZERO);
 
-  /** Who sends requests from now on. */
+  /** Caller of requests that are submitted from now on. */
   Caller caller = Caller.ANONYMOUS;
 
-  /** What cold servers of services that are set from now on bear; 0 is no bound. */
+  /** Request rate limit of cold servers in configurations set from now on; 0 for no limit. */
   double coldRequestsPerSecond;
 
   ForwardFixture() {
@@ -78,7 +78,7 @@
   }
 
   ForwardFixture(int routers) {
-    // Past the first window, in which there is no share of the allowance.
+    // Past the first window, in which only a part of the allowance may be spent.
     this(routers, Duration.ofSeconds(11));
   }
 
@@ -87,15 +87,15 @@
     advance(age);
   }
 
-  /** One of several routers, which share a clock. */
+  /** Creates one of several routers that share a clock. */
   ForwardFixture(FakeClock clock, String zone, RouterGroup group) {
     this(clock, "router-a", zone, group, attempt -> {});
   }
 
   /**
-   * One of several routers, which share a clock.
+   * Creates one of several routers that share a clock.
    *
-   * @param onSent told each attempt besides
+   * @param onSent also receives each attempt that is sent
    */
   ForwardFixture(
       FakeClock clock, String id, String zone, RouterGroup group, Consumer<ServerAttempt> onSent) {
@@ -126,7 +126,7 @@
             () -> viewAge);
   }
 
-  /** Routes everything to these services: to one of them when there is one, else to all. */
+  /** Routes all requests: a single service as one server, several as the shards of a search. */
   void route(boolean repeatable, String... services) {
     route(1, repeatable, services);
   }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardProperties.java
@@ -24,14 +24,15 @@
 import net.jqwik.api.Tuple;
 
 /**
- * Sequences of requests, answers, failures, leaving servers and time against an oracle that knows
- * what each server was sent and what it said.
+ * Checks random sequences of requests, answers, failures, departing servers and elapsed time against
+ * an oracle that records what each server received and replied. Guards against requests that run too
+ * often, attempts at departed or replaced servers, and requests that never end.
  */
 class ForwardProperties {
   private static final int SERVERS_OF_A_SERVICE = 3;
   private static final List<String> SHARDS = List.of("s1", "s2", "s3");
 
-  /** What happens next; {@code pick} chooses among what is there. */
+  /** What happens next; {@link Step#pick} selects the server, attempt, request or duration. */
   enum Event {
     REQUEST,
     ANSWER,
@@ -47,7 +48,7 @@
     LONG_TIME
   }
 
-  /** One event. */
+  /** One event and what it applies to. */
   record Step(Event event, int pick) {}
 
   @Provide
@@ -88,7 +89,7 @@
     new Run(true, List.of("s")).play(steps);
   }
 
-  /** One sequence, with the oracle's knowledge. */
+  /** Runs one sequence and records what the oracle knows. */
   private static final class Run {
     private final ForwardFixture fixture = new ForwardFixture();
     private final boolean repeatable;
@@ -209,15 +210,15 @@
         String server = attempt.server().id();
         Long leftAt = leftAtNanos.get(server);
         assertThat(leftAt == null || fixture.sentAtNanos.get(seen) - leftAt <= lastResort)
-            .as("a server that left long ago gets no work")
+            .as("a server that left long ago gets no attempts")
             .isTrue();
-        assertThat(replaced).as("nor one that was replaced").doesNotContain(server);
+        assertThat(replaced).as("a replaced server gets no attempts").doesNotContain(server);
       }
     }
 
     /**
-     * No request may have run on more servers of a service than it is allowed to, nor more than
-     * twice on each of them; one that is not repeatable may have run once.
+     * Checks that no request may have run on more servers of a service than its route allows, nor on
+     * average more than twice on each, and that one that is not repeatable has run at most once.
      */
     private void checkAttempts() {
       SetMultimap<String, String> servers = HashMultimap.create();
@@ -255,7 +256,7 @@
 
     private static void checkError(QueryError error) {
       if (error.executed() == Executed.NO) {
-        assertThat(error.retryAfter()).as("when to come back").isPresent();
+        assertThat(error.retryAfter()).as("retryAfter of a request that did not run").isPresent();
       }
     }
   }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardSearchTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardSearchTest.java
@@ -14,7 +14,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Requests that go to all shards. */
+/**
+ * Requests that go to all shards of a search: when they are answered, which parts are retried or
+ * hedged, and when parts are given up.
+ */
 public final class ForwardSearchTest {
   private static final ImmutableList<String> SHARDS = ImmutableList.of("s1", "s2", "s3", "s4");
 
@@ -70,7 +73,7 @@
   @Test
   public void noAttemptIsSentThatCouldNotEndInTime() {
     fixture.submit();
-    // Servers of a search stop at half of the time for which its caller is held.
+    // Servers of a search stop after half of the time for which its caller waits.
     fixture.advanceInSteps(ForwardFixture.TIMEOUT.minusMillis(15).dividedBy(2).minusMillis(2));
     fixture.fail(fixture.attempt(0), ServerFailure.UNREACHABLE);
 
@@ -221,11 +224,11 @@
   @Test
   public void tooManyLostPartsEndTheRequestAtOnce() {
     fixture.submit();
-    // A request that no server answers is suspected to be what ends them.
+    // Without any answer, the request would be suspected of crashing servers.
     fixture.answer(fixture.attempt(3));
     for (int part = 0; part < 3; part++) {
       fixture.fail(fixture.attempt(part), ServerFailure.BROKEN);
-      // The other server, and both of them once more.
+      // The other server, then both of them a second time.
       for (int more = 0; more < 3; more++) {
         fixture.fail(fixture.last(), ServerFailure.BROKEN);
       }
@@ -330,8 +333,8 @@
   }
 
   /**
-   * Load pattern: for four seconds the servers of half of the shards lose two answers in five by
-   * reset. With two tries for each shard such a search misses its least coverage.
+   * For four seconds, connection resets lose two of five answers of the servers of half of the
+   * shards. With only two attempts for each shard, such a search misses its minimum coverage.
    */
   @Test
   public void aPartWhoseAnswersAreLostMayRunOnceMoreOnAServerThatHasRunIt() {
@@ -350,7 +353,7 @@
     router.answer(third);
 
     assertThat(router.merged(0).missingParts()).isZero();
-    // The route allows two servers a shard.
+    // The route allows two servers per shard.
     assertThat(third.server().id())
         .isIn(router.attempt(0).server().id(), router.attempt(2).server().id());
   }
@@ -365,7 +368,7 @@
       router.server(shard + "b", shard);
     }
     router.submit();
-    // A request that no server answers is suspected to be what ends them.
+    // Without any answer, the request would be suspected of crashing servers.
     router.answer(router.attempt(2));
     for (int sent = 0; sent < router.sent.size(); sent++) {
       router.fail(router.attempt(sent), ServerFailure.BROKEN);
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardSingleTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardSingleTest.java
@@ -8,7 +8,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Requests that go to one server. */
+/**
+ * Requests that go to one server: retries, hedges, waiting for a connection, and that a request that
+ * is not repeatable never runs twice.
+ */
 public final class ForwardSingleTest {
   private ForwardFixture fixture;
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RecordMergerProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RecordMergerProperties.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** The merge against sorting everything. */
+/** Compares the merge with a sort of all records. */
 class RecordMergerProperties {
   @Property(tries = 500, seed = "20261202")
   void isTheGreatestOfAllRecords(
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ServiceBudgetProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ServiceBudgetProperties.java
@@ -10,13 +10,13 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Extra attempts stay within the rule in every window, wherever it begins. */
+/** Extra attempts stay within the limit in every window, regardless of where it begins. */
 class ServiceBudgetProperties {
   private static final ExtraAttemptRules RULES =
       new ExtraAttemptRules(0.2, 56, Duration.ofSeconds(10));
   private static final double SHARE = 7;
 
-  /** Each step: pause in milliseconds before a request that asks for as many extras as it can. */
+  /** Each pause, in milliseconds, precedes a request that takes all extra attempts it can get. */
   @Property(tries = 200, seed = "20261202")
   void noWindowHasMoreThanItsShare(
       @ForAll @Size(min = 1, max = 400) List<@IntRange(min = 0, max = 400) Integer> pauses) {
@@ -48,7 +48,7 @@
       budget.onRequest(i);
     }
     while (budget.tryHedge(SHARE, requests)) {
-      // Take all that hedges may have.
+      // Uses up the budget of hedges.
     }
     assertThat(budget.tryRetry(SHARE, requests)).isTrue();
   }
