--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/AttemptBudgetsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/AttemptBudgetsTest.java
@@ -16,25 +16,25 @@
   private static final long LATER_NANOS = Duration.ofSeconds(20).toNanos();
 
   @Test
-  public void aRouterThatHasJustStartedMaySpendALittle() {
+  public void aRecentlyStartedRouterMaySpendALittle() {
     assertThat(spendAll(new AttemptBudgets(RULES, service -> 0.1, 0), 0)).isBetween(3, 8);
   }
 
   @Test
-  public void twoLivesOfAllRoutersStayWithinTheAllowanceOfOneWindow() {
+  public void twoIncarnationsOfAllRoutersStayWithinOneAllowance() {
     int spent = 0;
     for (int router = 0; router < ROUTERS; router++) {
-      AttemptBudgets lastLife = new AttemptBudgets(RULES, service -> 1.0 / ROUTERS, 0);
-      spent += spendAll(lastLife, LATER_NANOS);
-      AttemptBudgets life = new AttemptBudgets(RULES, service -> 1.0 / ROUTERS, LATER_NANOS);
-      spent += spendAll(life, LATER_NANOS);
+      AttemptBudgets previousIncarnation = new AttemptBudgets(RULES, service -> 1.0 / ROUTERS, 0);
+      spent += spendAll(previousIncarnation, LATER_NANOS);
+      AttemptBudgets incarnation = new AttemptBudgets(RULES, service -> 1.0 / ROUTERS, LATER_NANOS);
+      spent += spendAll(incarnation, LATER_NANOS);
     }
 
     assertThat((double) spent).isLessThanOrEqualTo(RULES.allowance()).isGreaterThan(150);
   }
 
   @Test
-  public void aRouterWithoutPartOfTheAllowanceHasTheRatioOfItsRequestsOnly() {
+  public void aRouterWithoutAnAllowanceHasOnlyTheRatio() {
     AttemptBudgets budgets = new AttemptBudgets(RULES, service -> 0, 0);
     for (int request = 0; request < 100; request++) {
       budgets.onRequest("s", LATER_NANOS);
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/DelegationOverheadEstimateTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/DelegationOverheadEstimateTest.java
@@ -12,12 +12,12 @@
   private final DelegationOverheadEstimate unmeasured = new DelegationOverheadEstimate();
 
   @Test
-  public void aColdRouterKeepsAFifth() {
+  public void aFifthIsReservedWithoutAMeasurement() {
     assertThat(unmeasured.nanos(OBJECTIVE)).isEqualTo(millis(20));
   }
 
   @Test
-  public void theLongerOfTheLastTwoCounts() {
+  public void theLongerOfTheLastTwoMeasurementsCounts() {
     assertThat(estimate(30).nanos(OBJECTIVE)).isEqualTo(millis(30));
     assertThat(estimate(30, 8).nanos(OBJECTIVE)).isEqualTo(millis(30));
     assertThat(estimate(30, 8, 9).nanos(OBJECTIVE)).isEqualTo(millis(9));
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardProperties.java
@@ -24,9 +24,9 @@
 import net.jqwik.api.Tuple;
 
 /**
- * Checks random sequences of requests, answers, failures, departing servers and elapsed time against
- * an oracle that records what each server received and replied. Guards against requests that run too
- * often, attempts at departed or replaced servers, and requests that never end.
+ * Checks random sequences of requests, answers, failures, departing servers and elapsed time
+ * against an oracle that records what each server received and replied. Guards against requests
+ * that run too often, attempts at departed or replaced servers, and requests that never end.
  */
 class ForwardProperties {
   private static final int SERVERS_OF_A_SERVICE = 3;
@@ -43,7 +43,7 @@
     UNREACHABLE,
     LEAVE,
     RETURN,
-    CALLER_LEAVES,
+    CALLER_DISCONNECTS,
     SHORT_TIME,
     LONG_TIME
   }
@@ -64,7 +64,7 @@
             Tuple.of(2, Event.UNREACHABLE),
             Tuple.of(1, Event.LEAVE),
             Tuple.of(1, Event.RETURN),
-            Tuple.of(1, Event.CALLER_LEAVES),
+            Tuple.of(1, Event.CALLER_DISCONNECTS),
             Tuple.of(8, Event.SHORT_TIME),
             Tuple.of(1, Event.LONG_TIME));
     return Combinators.combine(events, Arbitraries.integers().between(0, 1_000))
@@ -75,17 +75,17 @@
   }
 
   @Property(tries = 400, seed = "20261202")
-  void searchesKeepTheirPromises(@ForAll("steps") List<Step> steps) {
+  void searchesHoldTheInvariants(@ForAll("steps") List<Step> steps) {
     new Run(true, SHARDS).play(steps);
   }
 
   @Property(tries = 400, seed = "20261202")
-  void unrepeatableRequestsKeepTheirPromises(@ForAll("steps") List<Step> steps) {
+  void unrepeatableRequestsHoldTheInvariants(@ForAll("steps") List<Step> steps) {
     new Run(false, List.of("s")).play(steps);
   }
 
   @Property(tries = 400, seed = "20261202")
-  void repeatableRequestsKeepTheirPromises(@ForAll("steps") List<Step> steps) {
+  void repeatableRequestsHoldTheInvariants(@ForAll("steps") List<Step> steps) {
     new Run(true, List.of("s")).play(steps);
   }
 
@@ -116,11 +116,11 @@
     void play(List<Step> steps) {
       for (Step step : steps) {
         apply(step);
-        takeNewAttempts();
+        recordNewAttempts();
         checkAttempts();
       }
       fixture.advanceInSteps(ForwardFixture.TIMEOUT.plusMillis(100));
-      takeNewAttempts();
+      recordNewAttempts();
       checkAttempts();
       checkOutcomes();
     }
@@ -135,8 +135,8 @@
         case BREAK -> fail(step, ServerFailure.BROKEN);
         case UNREACHABLE -> fail(step, ServerFailure.UNREACHABLE);
         case LEAVE -> leave(server(step));
-        case RETURN -> comeBack(server(step));
-        case CALLER_LEAVES -> callerLeaves(step);
+        case RETURN -> returnServer(server(step));
+        case CALLER_DISCONNECTS -> disconnectCaller(step);
         case SHORT_TIME -> fixture.advanceInSteps(Duration.ofMillis(step.pick() % 40));
         case LONG_TIME -> fixture.advanceInSteps(Duration.ofMillis(step.pick()));
         default -> throw new AssertionError(step);
@@ -188,13 +188,13 @@
       leftAtNanos.putIfAbsent(server, fixture.clock.nanoTime());
     }
 
-    private void comeBack(String server) {
+    private void returnServer(String server) {
       String service = server.substring(0, server.indexOf('-'));
       fixture.server(server, service);
       leftAtNanos.remove(server);
     }
 
-    private void callerLeaves(Step step) {
+    private void disconnectCaller(Step step) {
       if (!handles.isEmpty()) {
         int before = fixture.coordinator.inProgress();
         handles.get(step.pick() % handles.size()).cancel();
@@ -202,7 +202,7 @@
       }
     }
 
-    private void takeNewAttempts() {
+    private void recordNewAttempts() {
       long lastResort = Duration.ofMillis(1_500).toNanos();
       for (; seen < fixture.sent.size(); seen++) {
         ServerAttempt attempt = fixture.sent.get(seen);
@@ -217,8 +217,8 @@
     }
 
     /**
-     * Checks that no request may have run on more servers of a service than its route allows, nor on
-     * average more than twice on each, and that one that is not repeatable has run at most once.
+     * Checks that no request may have run on more servers of a service than its route allows, nor
+     * on average more than twice on each, and that one that is not repeatable has run at most once.
      */
     private void checkAttempts() {
       SetMultimap<String, String> servers = HashMultimap.create();
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardSearchTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardSearchTest.java
@@ -34,7 +34,7 @@
   }
 
   @Test
-  public void answersWhenAllPartsAreIn() {
+  public void answersWhenAllPartsAreAnswered() {
     fixture.submit();
     assertThat(fixture.sent).hasSize(4);
     for (int i = 0; i < 4; i++) {
@@ -48,7 +48,7 @@
   }
 
   @Test
-  public void answersWithWhatIsInWhenTheObjectiveIsDue() {
+  public void answersWithoutMissingPartsAtTheObjective() {
     fixture.submit();
     for (int i = 0; i < 3; i++) {
       fixture.answer(fixture.attempt(i));
@@ -59,7 +59,7 @@
   }
 
   @Test
-  public void aSearchOfWhichHardlyAnythingIsInIsNotAskedTwice() {
+  public void aSearchWithFewAnsweredPartsIsNotHedged() {
     fixture.submit();
     fixture.answer(fixture.attempt(0));
     fixture.advanceInSteps(ForwardFixture.OBJECTIVE.dividedBy(2));
@@ -71,7 +71,7 @@
   }
 
   @Test
-  public void noAttemptIsSentThatCouldNotEndInTime() {
+  public void noAttemptIsSentWhenTooLittleTimeIsLeft() {
     fixture.submit();
     // Servers of a search stop after half of the time for which its caller waits.
     fixture.advanceInSteps(ForwardFixture.TIMEOUT.minusMillis(15).dividedBy(2).minusMillis(2));
@@ -81,7 +81,7 @@
   }
 
   @Test
-  public void pastTheObjectiveAnswersAsSoonAsTheLeastCoverageIsIn() {
+  public void pastTheObjectiveAnswersOnceMinimumCoverageIsReached() {
     fixture.submit();
     fixture.answer(fixture.attempt(0));
     fixture.advance(ForwardFixture.OBJECTIVE);
@@ -92,7 +92,7 @@
   }
 
   @Test
-  public void aSearchThatLacksItsLeastCoverageGoesOnWhileItsCallerWaits() {
+  public void aSearchBelowMinimumCoverageContinuesPastTheObjective() {
     fixture.submit();
     fixture.answer(fixture.attempt(0));
     fixture.advanceInSteps(ForwardFixture.OBJECTIVE.multipliedBy(2).plusMillis(100));
@@ -103,17 +103,17 @@
   }
 
   @Test
-  public void pastTheObjectiveSecondAttemptsGoOnForAnAnswerThatNeedsThem() {
+  public void pastTheObjectiveHedgesContinueBelowMinimumCoverage() {
     fixture.route(true, new RouteTarget.AllShards(SHARDS, 4, 1.0));
     fixture.submit();
     fixture.answer(fixture.attempt(0));
     fixture.answer(fixture.attempt(1));
     fixture.answer(fixture.attempt(2));
     String slow = fixture.attempt(3).server().service();
-    busyOthers(slow);
+    reportBusy(slow);
     fixture.advanceInSteps(ForwardFixture.OBJECTIVE);
     assertThat(fixture.sent).hasSize(4);
-    idleOthers(slow);
+    reportIdle(slow);
     fixture.advanceInSteps(ForwardFixture.OBJECTIVE.dividedBy(2));
     assertThat(fixture.sent).hasSize(5);
     fixture.answer(fixture.last());
@@ -121,11 +121,11 @@
     assertThat(fixture.merged(0).missingParts()).isZero();
   }
 
-  private void busyOthers(String service) {
+  private void reportBusy(String service) {
     report(service, new LoadReport(2, 12, 2, LoadReport.USUAL));
   }
 
-  private void idleOthers(String service) {
+  private void reportIdle(String service) {
     report(service, new LoadReport(0, 0, 2, LoadReport.USUAL));
   }
 
@@ -136,7 +136,7 @@
   }
 
   @Test
-  public void aCallerThatAsksAgainHasLessOfTheObjectiveLeft() {
+  public void aRetryingCallerHasLessOfTheObjectiveLeft() {
     for (int i = 0; i < 3; i++) {
       fixture.submit();
       fixture.sent.subList(4 * i, 4 * i + 4).forEach(fixture::answer);
@@ -150,7 +150,7 @@
   }
 
   @Test
-  public void hedgesAPartThatIsSlowAtItsOtherServer() {
+  public void hedgesASlowPartAtItsOtherServer() {
     fixture.submit();
     for (int i = 0; i < 3; i++) {
       fixture.answer(fixture.attempt(i));
@@ -166,8 +166,8 @@
   }
 
   @Test
-  public void theLosersAnswerChangesNothing() {
-    hedgesAPartThatIsSlowAtItsOtherServer();
+  public void theAnswerOfTheHedgedAttemptIsIgnored() {
+    hedgesASlowPartAtItsOtherServer();
     fixture.answer(fixture.attempt(3));
 
     assertThat(fixture.outcomes).hasSize(1);
@@ -175,18 +175,18 @@
   }
 
   @Test
-  public void aServerThatStandsStillIsAvoidedByTheNextRequest() {
+  public void aStalledServerIsAvoidedByLaterRequests() {
     fixture.submit();
     for (int i = 0; i < 3; i++) {
       fixture.answer(fixture.attempt(i));
     }
     fixture.advanceInSteps(Duration.ofMillis(130));
-    String still = fixture.attempt(3).server().id();
+    String stalled = fixture.attempt(3).server().id();
     for (int i = 0; i < 10; i++) {
       int before = fixture.sent.size();
       fixture.submit();
       assertThat(fixture.sent.subList(before, before + 4))
-          .noneMatch(attempt -> attempt.server().id().equals(still));
+          .noneMatch(attempt -> attempt.server().id().equals(stalled));
       fixture.sent.subList(before, before + 4).forEach(fixture::answer);
     }
   }
@@ -212,7 +212,7 @@
   }
 
   @Test
-  public void aServersFailureIsNoPart() {
+  public void aServerErrorIsNotMerged() {
     fixture.submit();
     fixture.answer(fixture.attempt(0), ForwardFixture.serverError());
     fixture.answer(fixture.attempt(4), ForwardFixture.serverError());
@@ -254,7 +254,7 @@
   }
 
   @Test
-  public void serversThatJustWentAreTheLastResort() {
+  public void recentlyDepartedServersAreTheLastResort() {
     fixture.directory.onGone("s1-a", fixture.clock.nanoTime());
     fixture.directory.onGone("s1-b", fixture.clock.nanoTime());
     fixture.submit();
@@ -273,7 +273,7 @@
   }
 
   @Test
-  public void partsThatNeverComeEndTheRequestAtOnceWhenTheirServersShouldHaveStopped() {
+  public void silentServersEndTheRequestSoonAfterTheAttemptDeadline() {
     fixture.submit(Duration.ofSeconds(30));
     fixture.advanceInSteps(ForwardFixture.TIMEOUT.dividedBy(2));
     assertThat(fixture.outcomes).isEmpty();
@@ -284,7 +284,7 @@
   }
 
   @Test
-  public void partsThatNeverGotAConnectionEndTheRequestAsSoonAsThoseThatDid() {
+  public void partsWithoutAConnectionEndTheRequestAtTheAttemptDeadline() {
     fixture.route(true, new RouteTarget.AllShards(SHARDS, 4, 1.0));
     int before = 0;
     while (fixture.sent.size() == before + SHARDS.size() || before == 0) {
@@ -300,7 +300,7 @@
   }
 
   @Test
-  public void aCallerThatLeavesStopsItsServers() {
+  public void aDisconnectedCallersAttemptsAreCancelled() {
     ForwardHandle handle = fixture.submit();
     fixture.answer(fixture.attempt(0));
     handle.cancel();
@@ -311,7 +311,7 @@
   }
 
   @Test
-  public void neverMoreServersThanItsAttemptsMayRunAShard() {
+  public void aShardRunsOnNoMoreServersThanTheRouteAllows() {
     fixture.server("s1-c", "s1");
     fixture.server("s1-d", "s1");
     fixture.submit();
@@ -337,7 +337,7 @@
    * shards. With only two attempts for each shard, such a search misses its minimum coverage.
    */
   @Test
-  public void aPartWhoseAnswersAreLostMayRunOnceMoreOnAServerThatHasRunIt() {
+  public void aPartWithLostAnswersMayRunAgainOnTheSameServer() {
     ForwardFixture router = new ForwardFixture();
     router.route(true, new RouteTarget.AllShards(ImmutableList.of("s1", "s2"), 4, 1));
     for (String shard : List.of("s1", "s2")) {
@@ -359,7 +359,7 @@
   }
 
   @Test
-  public void aPartIsNotSentForEver() {
+  public void attemptsOfAPartAreBounded() {
     ForwardFixture router = new ForwardFixture();
     router.route(true, "s1", "s2", "s3");
     router.server("s3a", "s3");
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardSingleTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardSingleTest.java
@@ -9,8 +9,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Requests that go to one server: retries, hedges, waiting for a connection, and that a request that
- * is not repeatable never runs twice.
+ * Requests that go to one server: retries, hedges, waiting for a connection, and that a request
+ * that is not repeatable never runs twice.
  */
 public final class ForwardSingleTest {
   private ForwardFixture fixture;
@@ -68,7 +68,7 @@
   }
 
   @Test
-  public void anUnrepeatableRequestThatWasTurnedAwayGoesToAnotherServer() {
+  public void anUnrepeatableRequestThatWasRefusedGoesToAnotherServer() {
     fixture.route(false, "s");
     fixture.submit();
     fixture.answer(fixture.attempt(0), ForwardFixture.shed());
@@ -80,7 +80,7 @@
   }
 
   @Test
-  public void aRequestThatAllTurnAwayIsProvenNotRun() {
+  public void aRequestThatAllServersRefuseIsProvenNotRun() {
     fixture.route(false, "s");
     fixture.submit();
     for (int i = 0; i < fixture.sent.size(); i++) {
@@ -92,7 +92,7 @@
   }
 
   @Test
-  public void aServersOwnFailureIsPassedOnWhenTriesAreUsedUp() {
+  public void aServerErrorIsPassedOnWhenNoAttemptIsLeft() {
     fixture.route(true, "s");
     fixture.submit();
     fixture.answer(fixture.attempt(0), ForwardFixture.serverError());
@@ -103,7 +103,7 @@
   }
 
   @Test
-  public void aServerAtWhoseAddressAnotherAnswersGetsNothingMore() {
+  public void aReplacedServerGetsNoMoreAttempts() {
     fixture.route(true, "s");
     fixture.submit();
     String replaced = fixture.attempt(0).server().id();
@@ -117,7 +117,7 @@
   }
 
   @Test
-  public void theWinnerOfAHedgeEndsTheLoser() {
+  public void theAnswerToAHedgeCancelsTheOtherAttempt() {
     fixture.route(true, "s");
     fixture.submit();
     fixture.advanceInSteps(Duration.ofMillis(100));
@@ -128,7 +128,7 @@
   }
 
   @Test
-  public void aConnectionToSpareIsWaitedFor() {
+  public void aRequestWaitsForAFreeConnection() {
     fixture = new ForwardFixture(36);
     fixture.server("a", "s");
     fixture.route(true, "s");
@@ -143,7 +143,7 @@
   }
 
   @Test
-  public void aDeadlineGoesToTheServer() {
+  public void theDeadlineIsSentToTheServer() {
     fixture.route(true, "s");
     fixture.submit(Duration.ofMillis(700));
     long left = fixture.attempt(0).deadlineNanos() - fixture.clock.nanoTime();
@@ -152,7 +152,7 @@
   }
 
   @Test
-  public void withoutAConfigurationARequestIsRefusedAndMayComeBack() {
+  public void withoutAConfigurationARequestIsRefusedAndRetryable() {
     fixture.submit();
 
     assertThat(fixture.error(0).kind()).isEqualTo(ErrorKind.NO_CONFIGURATION);
@@ -161,7 +161,7 @@
   }
 
   @Test
-  public void aSilentServerIsGivenUpAndSuspended() {
+  public void attemptsAtASilentServerEndAtTheDeadline() {
     fixture.route(false, "s");
     fixture.submit();
     String silent = fixture.attempt(0).server().id();
@@ -172,7 +172,7 @@
   }
 
   @Test
-  public void aProcessThatHasJustStartedTakesHalfOfItsConnections() {
+  public void aRecentlyStartedProcessUsesHalfOfItsConnections() {
     ForwardFixture settled = new ForwardFixture(6);
     settled.route(true, "s");
     ForwardFixture starting = new ForwardFixture(6, Duration.ofSeconds(1));
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ServiceBudgetProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ServiceBudgetProperties.java
@@ -18,7 +18,7 @@
 
   /** Each pause, in milliseconds, precedes a request that takes all extra attempts it can get. */
   @Property(tries = 200, seed = "20261202")
-  void noWindowHasMoreThanItsShare(
+  void noWindowExceedsTheBudget(
       @ForAll @Size(min = 1, max = 400) List<@IntRange(min = 0, max = 400) Integer> pauses) {
     ServiceBudget budget = new ServiceBudget(RULES);
     List<Long> requests = new ArrayList<>();
