--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/ChangeTimesTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/ChangeTimesTest.java
@@ -12,7 +12,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** When the changes that a follower tells may have been made. */
+/**
+ * The times that a follower assigns to changes. With a time that is too late, a server that has
+ * left would be used for too long. With a deletion time that is too early, servers whose entries
+ * only expired while the store was down would be dropped.
+ */
 public final class ChangeTimesTest {
   private static final Duration APPLY = Duration.ofSeconds(5);
   private static final Duration MOMENT = Duration.ofMillis(10);
--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/OlderStoreFollowerTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/OlderStoreFollowerTest.java
@@ -12,8 +12,10 @@
 import org.testng.annotations.Test;
 
 /**
- * What a follower tells and asks when the store has come back from an older copy: its revisions go
- * back and are given out again in the next era.
+ * A follower of a store that is restored from an older backup. The revision numbers go back and are
+ * assigned again in the next era, so that a follower which compares only numbers would miss
+ * changes. The backup also lacks recent keys and contains deleted ones; applied at once, it would
+ * drop live servers and bring back servers that have left.
  */
 public final class OlderStoreFollowerTest extends StoreFollowerFixture {
   private static final Duration MOMENT = Duration.ofMillis(1);
@@ -46,7 +48,7 @@
     follower.onAnswer(transport.call, answer(revision, items));
   }
 
-  /** What a router that reads the store now would be told by this one. */
+  /** The items that this router would send to another router that asks for its listing. */
   private List<String> told() {
     return follower.view().snapshot().orElseThrow().items().stream()
         .map(item -> item.value() + "@" + RecordingFeedListener.text(item.revision()))
@@ -74,7 +76,7 @@
   @Test
   public void anAnswerOfALaterEraIsFollowedByAListing() {
     tell(in(1, 100), written("a", in(1, 90)));
-    // The numbers have passed 100 again: the answer lacks what was given 61 to 100 anew.
+    // The numbers have passed 100 again: the answer lacks the new changes with numbers 61 to 100.
     tell(in(2, 103), written("c", in(2, 102)));
     assertThat(transport.last()).isEqualTo("list");
     tell(in(2, 103), written("a", in(2, 70)), written("c", in(2, 102)));
@@ -214,7 +216,7 @@
     follower.onPeerNews(new StoreNews(in(2, 55), in(2, 60), 10, 0), PEER, true);
     pass(StoreFollower.PROPAGATION_SLACK);
 
-    // A watch from 100 might wait for long: the new era may just have reached it.
+    // A watch from number 100 might wait for a long time in the new era, which is at 60.
     assertThat(transport.last()).isEqualTo("list");
   }
 
@@ -253,7 +255,7 @@
     lookouts.add(PEER);
     fail(FeedFailure.HISTORY_GONE);
     assertThat(transport.last()).isEqualTo("list from " + PEER);
-    // That one has not listed the new era yet, and then gives no answer in time.
+    // The relay has not listed the new era yet; asked again, it gives no answer in time.
     follower.onPeerListing(answer(in(1, 100)), Optional.of(Duration.ZERO));
     pass(Duration.ofMillis(100));
     assertThat(transport.calls.stream().filter(("list from " + PEER)::equals)).hasSize(2);
--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/RecordingFeedListener.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/RecordingFeedListener.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a follower tells, a line each. */
+/** Records the calls of a follower, one line for each. */
 final class RecordingFeedListener implements FeedListener {
   final List<String> lines = new ArrayList<>();
 
-  /** The key that it fails to take. */
+  /** The key for which {@link #onWritten} throws. */
   String failsAt = "";
 
-  /** Where changes were heard, one entry a change. */
+  /** The sources of changes, one entry for each switch. */
   final List<String> sources = new ArrayList<>();
 
-  /** The number, after its era where the store has come back older. */
+  /** The number of a revision, preceded by its era unless that is 0. */
   static String text(StoreRevision revision) {
     return (revision.era() == 0 ? "" : revision.era() + ".") + revision.number();
   }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/RecordingFeedTransport.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/RecordingFeedTransport.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Calls of a store that wait for the test to answer them. */
+/** Records the calls of a follower; the test answers them. */
 final class RecordingFeedTransport implements FeedTransport {
   final List<String> calls = new ArrayList<>();
   long call;
--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/StoreFollowerFixture.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/StoreFollowerFixture.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import org.testng.annotations.BeforeMethod;
 
-/** A follower in virtual time, and its calls. */
+/** A follower in virtual time, with recorded calls and deliveries. */
 abstract class StoreFollowerFixture {
   static final String PEER = "10.0.0.2:7400";
   static final Duration LONGEST_SILENCE = Duration.ofSeconds(4);
@@ -88,7 +88,7 @@
     return new FeedAnswer(ImmutableList.copyOf(items), revision(revision), hasMore);
   }
 
-  /** In the era of a store that has never come back older. */
+  /** A revision of a store that was never restored. */
   static StoreRevision revision(long number) {
     return new StoreRevision(0, number);
   }
@@ -101,7 +101,7 @@
     return new FeedItem(key, revision(revision), Optional.empty(), "");
   }
 
-  /** A lookout or not, with the lookouts to follow in order. */
+  /** A source whose answers the test sets; relays are followed in list order. */
   final class FixedSource implements FeedSource {
     @Override
     public boolean isRelay() {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/StoreFollowerFreshnessTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/StoreFollowerFreshnessTest.java
@@ -6,7 +6,10 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** As of when a follower's view holds, and how a start gets one. */
+/**
+ * The age of a follower's view, and how a starting router obtains its first view. A view that
+ * counts as younger than it is would let a router decide on outdated entries.
+ */
 public final class StoreFollowerFreshnessTest extends StoreFollowerFixture {
   @Test
   public void whoStartsTakesOneAnswerOfAnotherRouter() {
@@ -107,7 +110,7 @@
 
     pass(Duration.ofMillis(1_500));
     peerAnswers(Optional.of(Duration.ofMillis(1_600)), 100);
-    // Three fifths of five seconds are not over: the lookout is followed on.
+    // The view is younger than three fifths of five seconds, so the relay is still followed.
     assertThat(transport.last()).isEqualTo("watch " + PEER + " after 100");
     pass(Duration.ofMillis(1_500));
     peerAnswers(Optional.of(Duration.ofMillis(3_100)), 100);
@@ -134,7 +137,8 @@
     assertThat(transport.lastWait).isEqualTo(Duration.ofMillis(1_500));
     pass(Duration.ofSeconds(1));
     answer(107, false, written("a", 107));
-    // As of the call's start, a second ago: the pause and the next wait are what is left.
+    // The view dates from the start of the call, one second ago. The pause and the next wait must
+    // fit into the rest of the time.
     pass(FollowerTimes.SHORTEST_PAUSE);
     pass(Duration.ofMillis(100));
     assertThat(transport.last()).isEqualTo("watch after 107");
--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/StoreFollowerTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/StoreFollowerTest.java
@@ -7,7 +7,10 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** Which call follows which answer, and what is told. */
+/**
+ * Which call a follower makes after each answer or failure, and what it delivers. A wrong next call
+ * loses changes or leaves the follower without any call, so that it never receives changes again.
+ */
 public final class StoreFollowerTest extends StoreFollowerFixture {
   @Test
   public void watchesFromTheFirstPagesRevision() {
@@ -133,8 +136,8 @@
   }
 
   /**
-   * A change that the router failed to act by ended the only chain of its calls: the defect was
-   * logged, and nothing that was written later was ever in force there.
+   * Guards against a listener that throws: unless the follower makes its next call all the same,
+   * the router never applies any later change.
    */
   @Test
   public void aChangeThatCannotBeTakenDoesNotEndTheFollowing() {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/time/SuspensionLogTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/time/SuspensionLogTest.java
@@ -6,6 +6,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/**
+ * Suspensions that a log derives from two clocks. A suspension that it misses would make data that
+ * is trusted for its age look younger than it is.
+ */
 public final class SuspensionLogTest {
   private static final long MILLI = Duration.ofMillis(1).toNanos();
   private static final long SECOND = Duration.ofSeconds(1).toNanos();
--- a/arrowarch-core/src/test/java/io/arrowarch/core/waiting/FairQueueTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/waiting/FairQueueTest.java
@@ -7,6 +7,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/**
+ * The order of waiting work. Without turns per tenant one busy tenant would get nearly all of them,
+ * and without turns for the least urgent priority that one would starve.
+ */
 public final class FairQueueTest {
   private FairQueue<String> queue;
 
