--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/ChangeTimesTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/ChangeTimesTest.java
@@ -41,18 +41,19 @@
             timers,
             new Random(1),
             new FeedBounds(Duration.ofSeconds(4), APPLY, APPLY, false),
-            new FollowsStore());
+            new StoreOnlySource());
     follower.start();
   }
 
-  private void pass(Duration time) {
+  private void advance(Duration time) {
     clock.advance(time);
     timers.runDue(clock.nanoTime());
   }
 
   private void answer(long revision) {
     follower.onAnswer(
-        transport.call, new FeedAnswer(ImmutableList.of(), new StoreRevision(0, revision), false));
+        transport.currentCall,
+        new FeedAnswer(ImmutableList.of(), new StoreRevision(0, revision), false));
   }
 
   private Duration changeAge() {
@@ -64,49 +65,49 @@
   }
 
   @Test
-  public void whatTheFirstListingTellsMayBeOfAnyAge() {
-    pass(MOMENT);
+  public void firstListingMayContainChangesOfAnyAge() {
+    advance(MOMENT);
     answer(100);
     assertThat(changeAge()).isGreaterThan(Duration.ofDays(1));
   }
 
   @Test
-  public void aWatchThatHasWaitedTellsWhatIsNew() {
+  public void answerOfWaitingWatchDatesFromNow() {
     answer(100);
-    pass(Duration.ofSeconds(9));
+    advance(Duration.ofSeconds(9));
     answer(101);
     assertThat(changeAge()).isZero();
     assertThat(deletionAge()).isZero();
   }
 
   @Test
-  public void aWatchThatIsAnsweredAtOnceTellsWhatIsNewSinceTheLastAnswer() {
+  public void immediateAnswerDatesFromPreviousAnswer() {
     answer(100);
-    pass(Duration.ofSeconds(9));
+    advance(Duration.ofSeconds(9));
     follower.onAnswer(
-        transport.call,
+        transport.currentCall,
         new FeedAnswer(
             ImmutableList.of(
                 new FeedItem(
                     "k", new StoreRevision(0, 101), Optional.of(new FeedEntry.Unknown()), "")),
             new StoreRevision(0, 101),
             false));
-    pass(Duration.ofMillis(1_250));
-    pass(MOMENT);
+    advance(Duration.ofMillis(1_250));
+    advance(MOMENT);
     answer(102);
     assertThat(changeAge()).isEqualTo(Duration.ofMillis(1_250).plus(MOMENT));
   }
 
   @Test
-  public void whatAPeerTellsARefusedRouterMayBeAsOldAsItsLastAnswer() {
+  public void peerListingDatesFromLastAnswerOfStore() {
     answer(100);
-    pass(Duration.ofSeconds(9));
+    advance(Duration.ofSeconds(9));
     answer(101);
-    pass(MOMENT);
-    follower.onFailure(transport.call, FeedFailure.UNAVAILABLE);
-    pass(Duration.ofSeconds(2));
+    advance(MOMENT);
+    follower.onFailure(transport.currentCall, FeedFailure.UNAVAILABLE);
+    advance(Duration.ofSeconds(2));
     follower.onPeerRevision(new StoreRevision(0, 105), PEER, true);
-    pass(Duration.ofMillis(300));
+    advance(Duration.ofMillis(300));
     follower.onPeerListing(
         new FeedAnswer(ImmutableList.of(), new StoreRevision(0, 105), false), Optional.empty());
     assertThat(changeAge()).isEqualTo(Duration.ofMillis(2_310));
@@ -114,30 +115,30 @@
   }
 
   @Test
-  public void whatLapsedWhileTheStoreWasAwayForAllCountsFromItsNews() {
+  public void expiryDuringStoreOutageDatesFromDelivery() {
     answer(100);
-    pass(Duration.ofSeconds(9));
+    advance(Duration.ofSeconds(9));
     answer(101);
-    pass(MOMENT);
-    follower.onFailure(transport.call, FeedFailure.HISTORY_GONE);
-    pass(Duration.ofSeconds(3));
+    advance(MOMENT);
+    follower.onFailure(transport.currentCall, FeedFailure.HISTORY_GONE);
+    advance(Duration.ofSeconds(3));
     answer(110);
     assertThat(changeAge()).isGreaterThan(Duration.ofSeconds(3));
     assertThat(deletionAge()).isZero();
   }
 
   @Test
-  public void aRouterThatStaysBehindAsksOtherZonesToo() {
+  public void routerThatStaysBehindAsksOtherZones() {
     answer(100);
-    follower.onFailure(transport.call, FeedFailure.UNAVAILABLE);
+    follower.onFailure(transport.currentCall, FeedFailure.UNAVAILABLE);
     follower.onPeerRevision(new StoreRevision(0, 105), PEER, false);
     assertThat(transport.calls).doesNotContain("list from " + PEER);
-    pass(StoreFollower.NEAR_PEERS_ONLY_PERIOD);
+    advance(StoreFollower.NEAR_PEERS_ONLY_PERIOD);
     follower.onPeerRevision(new StoreRevision(0, 105), PEER, false);
     assertThat(transport.calls).contains("list from " + PEER);
   }
 
-  private static final class FollowsStore implements FeedSource {
+  private static final class StoreOnlySource implements FeedSource {
     @Override
     public boolean isFollowed() {
       return false;
--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/RecordingFeedListener.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/RecordingFeedListener.java
@@ -10,7 +10,7 @@
   final List<String> lines = new ArrayList<>();
 
   /** The key for which {@link #onWritten} throws. */
-  String failsAt = "";
+  String failingKey = "";
 
   /** The sources of changes, one entry for each switch. */
   final List<String> sources = new ArrayList<>();
@@ -22,7 +22,7 @@
 
   @Override
   public void onWritten(String key, FeedEntry entry, StoreRevision revision) {
-    if (key.equals(failsAt)) {
+    if (key.equals(failingKey)) {
       throw new IllegalStateException("the listener failed");
     }
     lines.add(key + "@" + text(revision));
@@ -42,8 +42,8 @@
   }
 
   @Override
-  public void onSourceChanged(Optional<String> lookout) {
-    sources.add(lookout.orElse("store"));
+  public void onSourceChanged(Optional<String> relay) {
+    sources.add(relay.orElse("store"));
   }
 
   @Override
--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/RecordingFeedTransport.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/RecordingFeedTransport.java
@@ -9,19 +9,19 @@
 /** Records the calls of a follower; the test answers them. */
 final class RecordingFeedTransport implements FeedTransport {
   final List<String> calls = new ArrayList<>();
-  long call;
+  long currentCall;
   Duration lastWait = Duration.ZERO;
   Duration lastTimeout = Duration.ZERO;
 
   @Override
   public void list(long number, Optional<String> afterKey, Duration timeout) {
-    call = number;
+    currentCall = number;
     calls.add("list" + afterKey.map(key -> " after " + key).orElse(""));
   }
 
   @Override
   public void watch(long number, StoreRevision after, Duration wait, Duration timeout) {
-    call = number;
+    currentCall = number;
     lastWait = wait;
     lastTimeout = timeout;
     calls.add("watch after " + RecordingFeedListener.text(after));
@@ -30,7 +30,7 @@
   @Override
   public void watchPeer(
       long number, String address, StoreRevision after, Duration wait, Duration timeout) {
-    call = number;
+    currentCall = number;
     lastWait = wait;
     lastTimeout = timeout;
     calls.add("watch " + address + " after " + RecordingFeedListener.text(after));
@@ -41,7 +41,7 @@
     calls.add("list from " + address);
   }
 
-  String last() {
+  String lastCall() {
     return calls.get(calls.size() - 1);
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/StoreFollowerFixture.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/StoreFollowerFixture.java
@@ -16,7 +16,7 @@
 /** A follower in virtual time, with recorded calls and deliveries. */
 abstract class StoreFollowerFixture {
   static final String PEER = "10.0.0.2:7400";
-  static final Duration LONGEST_SILENCE = Duration.ofSeconds(4);
+  static final Duration MAX_SILENCE = Duration.ofSeconds(4);
 
   FakeClock clock;
   TimerQueue timers;
@@ -27,10 +27,10 @@
   Duration confirmation;
   boolean everyView;
   boolean isFollowed;
-  boolean lookout;
-  boolean inLargeZone;
-  final List<String> lookouts = new ArrayList<>();
-  final Deque<String> atStart = new ArrayDeque<>();
+  boolean relay;
+  boolean usesRelays;
+  final List<String> relays = new ArrayList<>();
+  final Deque<String> routersToAskAtStart = new ArrayDeque<>();
 
   @BeforeMethod
   public void create() {
@@ -42,14 +42,14 @@
     confirmation = Duration.ofSeconds(5);
     everyView = false;
     isFollowed = false;
-    lookout = true;
-    inLargeZone = false;
-    lookouts.clear();
-    atStart.clear();
-    follow(LONGEST_SILENCE);
+    relay = true;
+    usesRelays = false;
+    relays.clear();
+    routersToAskAtStart.clear();
+    follow(MAX_SILENCE);
   }
 
-  void follow(Duration longestSilence) {
+  void follow(Duration maxSilence) {
     follower =
         new StoreFollower(
             transport,
@@ -57,12 +57,12 @@
             clock,
             timers,
             new Random(1),
-            new FeedBounds(longestSilence, apply, confirmation, everyView),
+            new FeedBounds(maxSilence, apply, confirmation, everyView),
             new FixedSource());
     follower.start();
   }
 
-  void pass(Duration length) {
+  void advance(Duration length) {
     clock.advance(length);
     timers.runDue(clock.nanoTime());
   }
@@ -73,15 +73,15 @@
   }
 
   void answer(long revision, boolean hasMore, FeedItem... items) {
-    follower.onAnswer(transport.call, page(revision, hasMore, items));
+    follower.onAnswer(transport.currentCall, page(revision, hasMore, items));
   }
 
   void peerAnswers(Optional<Duration> age, long revision, FeedItem... items) {
-    follower.onPeerChanges(transport.call, page(revision, false, items), age);
+    follower.onPeerChanges(transport.currentCall, page(revision, false, items), age);
   }
 
   void fail(FeedFailure failure) {
-    follower.onFailure(transport.call, failure);
+    follower.onFailure(transport.currentCall, failure);
   }
 
   static FeedAnswer page(long revision, boolean hasMore, FeedItem... items) {
@@ -105,7 +105,7 @@
   final class FixedSource implements FeedSource {
     @Override
     public boolean isRelay() {
-      return lookout;
+      return relay;
     }
 
     @Override
@@ -115,27 +115,27 @@
 
     @Override
     public boolean usesRelays() {
-      return inLargeZone;
+      return usesRelays;
     }
 
     @Override
     public Optional<String> relayToFollow() {
-      return lookouts.stream().findFirst();
+      return relays.stream().findFirst();
     }
 
     @Override
     public Optional<String> routerToAskAtStart() {
-      return Optional.ofNullable(atStart.poll());
+      return Optional.ofNullable(routersToAskAtStart.poll());
     }
 
     @Override
     public Optional<String> relayToAskAfterGap() {
-      return lookout ? Optional.empty() : lookouts.stream().findFirst();
+      return relay ? Optional.empty() : relays.stream().findFirst();
     }
 
     @Override
     public void onFailed(String address) {
-      lookouts.remove(address);
+      relays.remove(address);
     }
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/StoreFollowerFreshnessTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/StoreFollowerFreshnessTest.java
@@ -12,42 +12,42 @@
  */
 public final class StoreFollowerFreshnessTest extends StoreFollowerFixture {
   @Test
-  public void whoStartsTakesOneAnswerOfAnotherRouter() {
-    atStart.add(PEER);
+  public void startingRouterUsesListingOfAnotherRouter() {
+    routersToAskAtStart.add(PEER);
     transport.calls.clear();
-    follow(LONGEST_SILENCE);
+    follow(MAX_SILENCE);
     assertThat(transport.calls).containsExactly("list from " + PEER);
-    pass(Duration.ofMillis(20));
+    advance(Duration.ofMillis(20));
     follower.onPeerListing(page(200, false, written("b", 150)), Optional.of(Duration.ofSeconds(1)));
 
     assertThat(follower.view().isComplete()).isTrue();
     assertThat(follower.view().age()).contains(Duration.ofMillis(1_020));
-    assertThat(transport.last()).isEqualTo("watch after 200");
+    assertThat(transport.lastCall()).isEqualTo("watch after 200");
   }
 
   @Test
-  public void whoStartsAsksOthersForAMomentOnlyAndThenTheStore() {
+  public void startingRouterAsksPeersBrieflyAndThenTheStore() {
     for (int i = 0; i < 100; i++) {
-      atStart.add(PEER);
+      routersToAskAtStart.add(PEER);
     }
     transport.calls.clear();
-    follow(LONGEST_SILENCE);
-    for (int millis = 0; millis < 1_200 && !transport.last().equals("list"); millis += 50) {
-      if (transport.calls.size() > 100 - atStart.size() - 1) {
+    follow(MAX_SILENCE);
+    for (int millis = 0; millis < 1_200 && !transport.lastCall().equals("list"); millis += 50) {
+      if (transport.calls.size() > 100 - routersToAskAtStart.size() - 1) {
         follower.onPeerListingFailed();
       }
-      pass(Duration.ofMillis(50));
+      advance(Duration.ofMillis(50));
     }
-    assertThat(transport.last()).isEqualTo("list");
+    assertThat(transport.lastCall()).isEqualTo("list");
     answer(100, false);
-    assertThat(transport.last()).isEqualTo("watch after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch after 100");
   }
 
   @Test
-  public void aListingProvesTheViewAsOfItsStart() {
-    pass(Duration.ofMillis(40));
+  public void listingConfirmsViewAsOfItsStart() {
+    advance(Duration.ofMillis(40));
     answer(100, true, written("a", 10));
-    pass(Duration.ofMillis(60));
+    advance(Duration.ofMillis(60));
     assertThat(follower.view().age()).isEmpty();
     answer(105, false, written("b", 103));
 
@@ -55,9 +55,9 @@
   }
 
   @Test
-  public void aWatchThatWasHeldForItsWholeWaitProvesTheViewUntilItsEnd() {
+  public void watchThatLastedItsWholeWaitConfirmsViewAsOfItsEnd() {
     answer(100, false);
-    pass(transport.lastWait.plusMillis(30));
+    advance(transport.lastWait.plusMillis(30));
     answer(100, false);
 
     Duration drift = transport.lastWait.dividedBy(1_000);
@@ -65,21 +65,21 @@
   }
 
   @Test
-  public void aWatchThatEndsEarlyOrWithChangesProvesTheViewAsOfItsStartOnly() {
+  public void watchThatEndsEarlyOrWithChangesConfirmsViewAsOfItsStart() {
     answer(100, false);
-    pass(Duration.ofMillis(700));
+    advance(Duration.ofMillis(700));
     answer(100, false);
     assertThat(follower.view().age()).contains(Duration.ofMillis(700));
 
-    pass(transport.lastWait);
+    advance(transport.lastWait);
     answer(107, false, written("a", 107));
     assertThat(follower.view().age()).contains(transport.lastWait);
   }
 
   @Test
-  public void whatAPeerConfirmsCountsOnlyOnceItsChangesAreKnown() {
+  public void confirmationByPeerCountsOnlyOnceItsChangesAreKnown() {
     answer(100, false);
-    pass(Duration.ofSeconds(2));
+    advance(Duration.ofSeconds(2));
     follower.view().onConfirmedByPeer(revision(101), clock.nanoTime(), Duration.ZERO);
     assertThat(follower.view().age()).contains(Duration.ofSeconds(2));
 
@@ -90,7 +90,7 @@
   }
 
   @Test
-  public void othersAreToldUpToWhichRevisionAllIsKnownAlsoWhatWasDeletedUnseen() {
+  public void positionCoversDeletionsOfKeysNeverSeen() {
     answer(100, false, written("a", 10));
 
     assertThat(follower.view().newestRevision()).isEqualTo(revision(10));
@@ -98,30 +98,30 @@
   }
 
   @Test
-  public void aLookoutStatesTheAgeOfItsViewAndIsLeftWhenThatIsOld() {
-    lookout = false;
-    lookouts.add(PEER);
-    lookouts.add("10.0.0.3:7400");
+  public void relayWithOldViewIsNoLongerFollowed() {
+    relay = false;
+    relays.add(PEER);
+    relays.add("10.0.0.3:7400");
     answer(100, false);
-    pass(Duration.ofMillis(1_500));
+    advance(Duration.ofMillis(1_500));
     peerAnswers(Optional.of(Duration.ofMillis(-1_200)), 100);
     assertThat(follower.view().age()).contains(Duration.ofMillis(300));
-    assertThat(transport.last()).isEqualTo("watch " + PEER + " after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch " + PEER + " after 100");
 
-    pass(Duration.ofMillis(1_500));
+    advance(Duration.ofMillis(1_500));
     peerAnswers(Optional.of(Duration.ofMillis(1_600)), 100);
     // The view is younger than three fifths of five seconds, so the relay is still followed.
-    assertThat(transport.last()).isEqualTo("watch " + PEER + " after 100");
-    pass(Duration.ofMillis(1_500));
+    assertThat(transport.lastCall()).isEqualTo("watch " + PEER + " after 100");
+    advance(Duration.ofMillis(1_500));
     peerAnswers(Optional.of(Duration.ofMillis(3_100)), 100);
-    assertThat(transport.last()).isEqualTo("watch 10.0.0.3:7400 after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch 10.0.0.3:7400 after 100");
   }
 
   @Test
-  public void whereChangesAreHeardIsToldWheneverThatChanges() {
-    lookout = false;
-    lookouts.add(PEER);
-    lookouts.add("10.0.0.3:7400");
+  public void listenerIsNotifiedOfEachChangeOfSource() {
+    relay = false;
+    relays.add(PEER);
+    relays.add("10.0.0.3:7400");
     answer(100, false);
     peerAnswers(Optional.of(Duration.ZERO), 101, written("a", 101));
     fail(FeedFailure.UNAVAILABLE);
@@ -131,25 +131,25 @@
   }
 
   @Test
-  public void aLookoutThatOthersFollowConfirmsItsViewClosely() {
+  public void followedRelayConfirmsItsViewInShortIntervals() {
     isFollowed = true;
     answer(100, false);
     assertThat(transport.lastWait).isEqualTo(Duration.ofMillis(1_500));
-    pass(Duration.ofSeconds(1));
+    advance(Duration.ofSeconds(1));
     answer(107, false, written("a", 107));
     // The view dates from the start of the call, one second ago. The pause and the next wait must
     // fit into the rest of the time.
-    pass(FollowerTimes.SHORTEST_PAUSE);
-    pass(Duration.ofMillis(100));
-    assertThat(transport.last()).isEqualTo("watch after 107");
+    advance(FollowerTimes.SHORTEST_PAUSE);
+    advance(Duration.ofMillis(100));
+    assertThat(transport.lastCall()).isEqualTo("watch after 107");
     assertThat(transport.lastWait).isEqualTo(FollowerTimes.SHORTEST_CONFIRMATION);
   }
 
   @Test
-  public void whereEveryViewMustBeFreshEachRouterConfirmsItsOwn() {
-    lookout = false;
+  public void eachRouterConfirmsItsViewIfEveryViewMustBeFresh() {
+    relay = false;
     everyView = true;
-    follow(LONGEST_SILENCE);
+    follow(MAX_SILENCE);
     answer(100, false);
     assertThat(transport.lastWait).isEqualTo(Duration.ofMillis(1_500));
   }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/feed/StoreFollowerTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/feed/StoreFollowerTest.java
@@ -18,7 +18,7 @@
     answer(105, false, written("b", 103));
 
     assertThat(listener.lines).containsExactly("a@10", "b@103", "listed@100");
-    assertThat(transport.last()).isEqualTo("watch after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch after 100");
   }
 
   @Test
@@ -31,7 +31,7 @@
   }
 
   @Test
-  public void aDeletionIsToldOnce() {
+  public void deletionIsDeliveredOnce() {
     answer(100, false, written("a", 10));
     answer(111, false, deleted("a", 111));
     clock.advance(FollowerTimes.SHORTEST_PAUSE);
@@ -42,10 +42,10 @@
   }
 
   @Test
-  public void goneHistoryIsListedAnewAndWhatIsMissingIsDeleted() {
+  public void lostHistoryCausesListingThatDeletesMissingKeys() {
     answer(100, false, written("a", 10), written("b", 20));
     fail(FeedFailure.HISTORY_GONE);
-    assertThat(transport.last()).isEqualTo("list");
+    assertThat(transport.lastCall()).isEqualTo("list");
     answer(200, false, written("b", 20));
 
     assertThat(listener.lines)
@@ -53,31 +53,31 @@
   }
 
   @Test
-  public void aListingThatBreaksOffStartsAnew() {
+  public void failedListingStartsAgain() {
     answer(100, true, written("a", 10));
     fail(FeedFailure.NO_ANSWER);
     runBackoff();
 
-    assertThat(transport.last()).isEqualTo("list");
+    assertThat(transport.lastCall()).isEqualTo("list");
     answer(120, false, written("b", 110));
     assertThat(listener.lines)
         .containsExactly("a@10", "lost", "regained", "b@110", "-a@120", "listed@120");
   }
 
   @Test
-  public void aFailedWatchGoesOnFromWhereItWas() {
+  public void failedWatchResumesFromItsPosition() {
     answer(100, false);
     fail(FeedFailure.NO_ANSWER);
     runBackoff();
 
-    assertThat(transport.last()).isEqualTo("watch after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch after 100");
     answer(100, false);
     assertThat(listener.lines).containsExactly("listed@100", "lost", "regained");
   }
 
   @Test
-  public void anAnswerToAnEarlierCallIsIgnored() {
-    long first = transport.call;
+  public void answerToEarlierCallIsIgnored() {
+    long first = transport.currentCall;
     answer(100, false, written("a", 10));
     follower.onAnswer(first, page(50, false, written("z", 1)));
 
@@ -96,7 +96,7 @@
   }
 
   @Test
-  public void silenceIsBelievedForLessThanTheTimeAfterACut() {
+  public void watchTimesOutWithinAllowedSilence() {
     answer(100, false);
 
     assertThat(transport.lastTimeout).isLessThan(Duration.ofMillis(3_500));
@@ -105,7 +105,7 @@
   }
 
   @Test
-  public void waitsAreLongerWhereSilenceMayBe() {
+  public void waitsAreLongerIfMoreSilenceIsAllowed() {
     follow(Duration.ofSeconds(6));
     answer(100, false);
 
@@ -114,7 +114,7 @@
   }
 
   @Test
-  public void waitsStayPositiveWhereNoSilenceMayBe() {
+  public void waitsStayPositiveIfNoSilenceIsAllowed() {
     follow(Duration.ZERO);
     answer(100, false);
 
@@ -122,17 +122,17 @@
   }
 
   @Test
-  public void changesAreFetchedTogetherWhereRoutersMayActByThemLater() {
+  public void changesAreBatchedIfRoutersMayActLater() {
     apply = Duration.ofSeconds(6);
-    follow(LONGEST_SILENCE);
+    follow(MAX_SILENCE);
     answer(100, false);
     answer(101, false, written("a", 101));
     int calls = transport.calls.size();
-    pass(Duration.ofMillis(1_400));
+    advance(Duration.ofMillis(1_400));
     assertThat(transport.calls).hasSize(calls);
-    pass(Duration.ofMillis(200));
+    advance(Duration.ofMillis(200));
 
-    assertThat(transport.last()).isEqualTo("watch after 101");
+    assertThat(transport.lastCall()).isEqualTo("watch after 101");
   }
 
   /**
@@ -140,12 +140,12 @@
    * the router never applies any later change.
    */
   @Test
-  public void aChangeThatCannotBeTakenDoesNotEndTheFollowing() {
+  public void failingListenerDoesNotEndCallsToStore() {
     answer(100, false, written("a", 10));
-    listener.failsAt = "bad";
+    listener.failingKey = "bad";
     assertThatThrownBy(() -> answer(101, false, written("bad", 101)))
         .isInstanceOf(IllegalStateException.class);
-    pass(Duration.ofSeconds(2));
+    advance(Duration.ofSeconds(2));
     assertThat(transport.calls).containsExactly("list", "watch after 100", "watch after 100");
     answer(102, false, written("bad", 101), written("b", 102));
 
@@ -153,15 +153,15 @@
   }
 
   @Test
-  public void norDoesOneOfALookout() {
-    lookout = false;
-    lookouts.add(PEER);
+  public void failingListenerDoesNotEndCallsToRelay() {
+    relay = false;
+    relays.add(PEER);
     answer(100, false);
-    listener.failsAt = "bad";
+    listener.failingKey = "bad";
     assertThatThrownBy(() -> peerAnswers(Optional.empty(), 101, written("bad", 101)))
         .isInstanceOf(IllegalStateException.class);
     int calls = transport.calls.size();
-    pass(Duration.ofSeconds(2));
+    advance(Duration.ofSeconds(2));
     assertThat(transport.calls).hasSize(calls + 1);
     peerAnswers(Optional.empty(), 102, written("bad", 101), written("b", 102));
 
@@ -169,108 +169,108 @@
   }
 
   @Test
-  public void whoIsNoLookoutFindsTheSilenceOfTheStoreInTimeToo() {
-    lookout = false;
+  public void nonRelayDetectsSilentStoreInTime() {
+    relay = false;
     answer(100, false);
 
     assertThat(transport.lastTimeout.plus(FollowerTimes.RECONNECT_TIME))
-        .isLessThanOrEqualTo(LONGEST_SILENCE);
+        .isLessThanOrEqualTo(MAX_SILENCE);
   }
 
   @Test
-  public void whoseLookoutsHaveFailedComesBackToThemSoon() {
-    lookout = false;
-    inLargeZone = true;
-    lookouts.add(PEER);
+  public void followerReturnsToRelaysSoonAfterTheyFailed() {
+    relay = false;
+    usesRelays = true;
+    relays.add(PEER);
     answer(100, false);
     fail(FeedFailure.UNAVAILABLE);
-    assertThat(transport.last()).isEqualTo("watch after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch after 100");
     assertThat(transport.lastTimeout.plus(FollowerTimes.LONGEST_PEER_WAIT))
         .isLessThanOrEqualTo(confirmation);
-    lookouts.add(PEER);
+    relays.add(PEER);
     answer(100, false);
 
-    assertThat(transport.last()).isEqualTo("watch " + PEER + " after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch " + PEER + " after 100");
   }
 
   @Test
-  public void whoIsNoLookoutFollowsOneByTheSameCalls() {
-    lookout = false;
-    lookouts.add(PEER);
+  public void nonRelayFollowsRelayByWatches() {
+    relay = false;
+    relays.add(PEER);
     answer(100, false, written("a", 10));
-    assertThat(transport.last()).isEqualTo("watch " + PEER + " after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch " + PEER + " after 100");
     assertThat(follower.mayBeFollowed(revision(100))).isFalse();
     peerAnswers(Optional.of(Duration.ZERO), 105, written("b", 105), deleted("a", 104));
 
     assertThat(listener.lines).containsExactly("a@10", "listed@100", "b@105", "-a@104");
-    assertThat(transport.last()).isEqualTo("watch " + PEER + " after 105");
+    assertThat(transport.lastCall()).isEqualTo("watch " + PEER + " after 105");
   }
 
   @Test
-  public void whereALookoutFailsTheNextIsFollowedAndAtLastTheStore() {
-    lookout = false;
-    lookouts.add(PEER);
-    lookouts.add("10.0.0.3:7400");
+  public void nextRelayIsFollowedAfterFailureAndFinallyTheStore() {
+    relay = false;
+    relays.add(PEER);
+    relays.add("10.0.0.3:7400");
     answer(100, false);
     fail(FeedFailure.UNAVAILABLE);
-    assertThat(transport.last()).isEqualTo("watch 10.0.0.3:7400 after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch 10.0.0.3:7400 after 100");
     fail(FeedFailure.UNAVAILABLE);
-    assertThat(transport.last()).isEqualTo("watch after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch after 100");
     assertThat(listener.lines).doesNotContain("lost");
     assertThat(follower.mayBeFollowed(revision(100))).isTrue();
   }
 
   @Test
-  public void afterASilentLookoutTheStoreIsAskedAndThenTheNextLookout() {
-    lookout = false;
-    lookouts.add(PEER);
-    lookouts.add("10.0.0.3:7400");
+  public void storeIsAskedAfterSilentRelayAndThenTheNextRelay() {
+    relay = false;
+    relays.add(PEER);
+    relays.add("10.0.0.3:7400");
     answer(100, false);
     fail(FeedFailure.NO_ANSWER);
-    assertThat(transport.last()).isEqualTo("watch after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch after 100");
     assertThat(listener.lines).doesNotContain("lost");
     answer(100, false);
 
-    assertThat(transport.last()).isEqualTo("watch 10.0.0.3:7400 after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch 10.0.0.3:7400 after 100");
   }
 
   @Test
-  public void aLookoutThatHasForgottenTellsAll() {
-    lookout = false;
-    lookouts.add(PEER);
+  public void relayWithoutHistoryIsAskedForItsListing() {
+    relay = false;
+    relays.add(PEER);
     answer(100, false, written("a", 10));
     fail(FeedFailure.HISTORY_GONE);
-    assertThat(transport.last()).isEqualTo("list from " + PEER);
+    assertThat(transport.lastCall()).isEqualTo("list from " + PEER);
     follower.onPeerListing(page(200, false, written("b", 150)), Optional.empty());
 
     assertThat(listener.lines)
         .containsExactly("a@10", "listed@100", "b@150", "-a@200", "by peer@200");
-    assertThat(transport.last()).isEqualTo("watch " + PEER + " after 200");
+    assertThat(transport.lastCall()).isEqualTo("watch " + PEER + " after 200");
   }
 
   @Test
-  public void whereNeitherALookoutsHistoryNorItsListingCanBeHadTheStoreIsListed() {
-    lookout = false;
-    lookouts.add(PEER);
+  public void storeIsListedIfRelayHasNeitherHistoryNorListing() {
+    relay = false;
+    relays.add(PEER);
     answer(100, false);
     fail(FeedFailure.HISTORY_GONE);
     follower.onPeerListingFailed();
-    assertThat(transport.last()).isEqualTo("list");
+    assertThat(transport.lastCall()).isEqualTo("list");
   }
 
   @Test
-  public void aLookoutThatStandsStillIsLeftOnceOthersAreAhead() {
-    lookout = false;
-    lookouts.add(PEER);
+  public void relayThatStaysBehindOthersIsNoLongerFollowed() {
+    relay = false;
+    relays.add(PEER);
     answer(100, false);
     follower.onPeerRevision(revision(107), "10.0.0.9:7400", false);
     clock.advance(StoreFollower.PROPAGATION_SLACK);
     timers.runDue(clock.nanoTime());
-    assertThat(transport.last()).isEqualTo("watch after 100");
+    assertThat(transport.lastCall()).isEqualTo("watch after 100");
   }
 
   @Test
-  public void whoIsFollowedTellsWhatIsLaterAndSaysWhenItHasForgotten() {
+  public void followedRouterServesLaterChangesOrReportsLostHistory() {
     answer(100, false, written("a", 10), written("b", 20));
     answer(111, false, deleted("a", 111), written("c", 110), deleted("never-seen", 109));
 
@@ -286,23 +286,23 @@
   }
 
   @Test
-  public void afterAFailureAnyRouterLooksForSilence() {
-    lookout = false;
+  public void waitsAreShortAfterFailure() {
+    relay = false;
     answer(100, false);
     fail(FeedFailure.NO_ANSWER);
     runBackoff();
-    assertThat(transport.lastWait).isLessThan(LONGEST_SILENCE);
+    assertThat(transport.lastWait).isLessThan(MAX_SILENCE);
     answer(100, false);
 
-    assertThat(transport.lastWait).isLessThan(LONGEST_SILENCE);
+    assertThat(transport.lastWait).isLessThan(MAX_SILENCE);
   }
 
   @Test
-  public void aRouterThatStaysBehindTheOthersAsksAnew() {
-    lookout = false;
+  public void routerThatStaysBehindPeersRepeatsItsWatch() {
+    relay = false;
     answer(100, false, written("a", 90));
     follower.onPeerRevision(revision(103), PEER, true);
-    pass(StoreFollower.PROPAGATION_SLACK);
+    advance(StoreFollower.PROPAGATION_SLACK);
     answer(103, false, written("a", 103));
 
     assertThat(transport.calls).containsExactly("list", "watch after 100", "watch after 100");
@@ -310,58 +310,58 @@
   }
 
   @Test
-  public void aRouterThatHearsOfAChangeBeforeItComesDoesNotAskTwice() {
-    lookout = false;
+  public void changeReportedByPeerBeforeItArrivesCausesNoSecondCall() {
+    relay = false;
     answer(100, false, written("a", 90));
     follower.onPeerRevision(revision(103), PEER, true);
     answer(103, false, written("a", 103));
-    pass(StoreFollower.PROPAGATION_SLACK);
+    advance(StoreFollower.PROPAGATION_SLACK);
 
     assertThat(listener.lines).doesNotContain("behind@103");
   }
 
   @Test
-  public void aRouterThatTheStoreRefusesTakesWhatAPeerHolds() {
+  public void listingOfPeerIsAppliedWhileStoreFails() {
     answer(100, false, written("a", 10), written("b", 20));
     fail(FeedFailure.UNAVAILABLE);
     follower.onPeerRevision(revision(130), PEER, true);
-    assertThat(transport.last()).isEqualTo("list from " + PEER);
+    assertThat(transport.lastCall()).isEqualTo("list from " + PEER);
     follower.onPeerListing(page(130, false, written("b", 20), written("c", 130)), Optional.empty());
     runBackoff();
 
     assertThat(listener.lines)
         .containsExactly("a@10", "b@20", "listed@100", "lost", "c@130", "-a@130", "by peer@130");
-    assertThat(transport.last()).isEqualTo("watch after 130");
+    assertThat(transport.lastCall()).isEqualTo("watch after 130");
   }
 
   @Test
-  public void aRouterThatStartsWhileTheStoreIsDownIsListedByAPeer() {
+  public void startingRouterUsesListingOfPeerWhileStoreIsDown() {
     fail(FeedFailure.NO_ANSWER);
     follower.onPeerRevision(revision(90), PEER, false);
     follower.onPeerListing(page(95, false, written("a", 90)), Optional.empty());
 
     assertThat(follower.view().isComplete()).isTrue();
     runBackoff();
-    assertThat(transport.last()).isEqualTo("watch after 95");
+    assertThat(transport.lastCall()).isEqualTo("watch after 95");
   }
 
   @Test
-  public void aPageThatComesAfterAPeersListingIsNotTakenForChanges() {
-    long listing = transport.call;
+  public void pageAfterListingOfPeerIsIgnored() {
+    long listing = transport.currentCall;
     fail(FeedFailure.NO_ANSWER);
     runBackoff();
-    long second = transport.call;
+    long second = transport.currentCall;
     follower.onPeerRevision(revision(90), PEER, false);
     follower.onPeerListing(page(95, false, written("a", 90)), Optional.empty());
     follower.onAnswer(second, page(96, true, written("b", 96)));
 
     assertThat(second).isNotEqualTo(listing);
     assertThat(listener.lines).doesNotContain("b@96");
-    assertThat(transport.last()).isEqualTo("watch after 95");
+    assertThat(transport.lastCall()).isEqualTo("watch after 95");
   }
 
   @Test
-  public void peersAreNotAskedWhileTheStoreAnswersNorMoreOftenThanNeeded() {
+  public void peersAreAskedOnlyWhileStoreFailsAndAtLimitedRate() {
     answer(100, false, written("a", 10));
     follower.onPeerRevision(revision(130), PEER, true);
     assertThat(transport.calls).doesNotContain("list from " + PEER);
@@ -375,7 +375,7 @@
   }
 
   @Test
-  public void whatAPeerHoldsOfEarlierChangesNothing() {
+  public void olderListingOfPeerIsIgnored() {
     answer(100, false, written("a", 10));
     follower.onPeerListing(page(90, false), Optional.empty());
 
@@ -383,7 +383,7 @@
   }
 
   @Test
-  public void whatIsHeldIsToldToOthersWhole() {
+  public void snapshotContainsAllItemsAtPosition() {
     answer(100, false, written("a", 10), written("b", 20));
     answer(111, false, deleted("a", 111));
 
@@ -391,10 +391,10 @@
   }
 
   @Test
-  public void whatOthersHaveSeenOfEarlierRevisionsSaysNothing() {
+  public void revisionOfPeerThatIsAlreadyKnownIsIgnored() {
     answer(100, false, written("a", 90));
     follower.onPeerRevision(revision(100), PEER, true);
-    pass(StoreFollower.PROPAGATION_SLACK.multipliedBy(2));
+    advance(StoreFollower.PROPAGATION_SLACK.multipliedBy(2));
 
     assertThat(transport.calls).containsExactly("list", "watch after 100");
     assertThat(follower.view().newestRevision()).isEqualTo(revision(90));
--- a/arrowarch-core/src/test/java/io/arrowarch/core/time/SuspensionLogTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/time/SuspensionLogTest.java
@@ -11,80 +11,80 @@
  * is trusted for its age look younger than it is.
  */
 public final class SuspensionLogTest {
-  private static final long MILLI = Duration.ofMillis(1).toNanos();
-  private static final long SECOND = Duration.ofSeconds(1).toNanos();
+  private static final long MILLI_NANOS = Duration.ofMillis(1).toNanos();
+  private static final long SECOND_NANOS = Duration.ofSeconds(1).toNanos();
 
-  private long steady;
-  private long other;
+  private long monotonic;
+  private long wall;
   private SuspensionLog log;
 
   @BeforeMethod
   public void create() {
-    steady = 7 * SECOND;
-    other = 1_000_000 * SECOND;
-    log = new SuspensionLog(steady, other);
+    monotonic = 7 * SECOND_NANOS;
+    wall = 1_000_000 * SECOND_NANOS;
+    log = new SuspensionLog(monotonic, wall);
   }
 
   @Test
-  public void clocksThatGoAlikeTellNothing() {
-    pass(SECOND, SECOND + 3 * MILLI);
-    pass(SECOND, SECOND - 3 * MILLI);
+  public void clocksInStepShowNoSuspension() {
+    advance(SECOND_NANOS, SECOND_NANOS + 3 * MILLI_NANOS);
+    advance(SECOND_NANOS, SECOND_NANOS - 3 * MILLI_NANOS);
 
     assertThat(log.suspendedSinceNanos(0)).isZero();
   }
 
   @Test
-  public void whatTheSteadyClockLeavesOutCountsForMomentsBefore() {
-    pass(SECOND, SECOND);
-    long before = steady;
-    pass(SECOND, 11 * SECOND);
-    assertThat(log.suspendedSinceNanos(before)).isEqualTo(10 * SECOND);
-
-    pass(SECOND, SECOND);
-    assertThat(log.suspendedSinceNanos(steady)).isZero();
-    assertThat(log.suspendedSinceNanos(before)).isEqualTo(10 * SECOND);
+  public void suspensionCountsForEarlierTimesOnly() {
+    advance(SECOND_NANOS, SECOND_NANOS);
+    long before = monotonic;
+    advance(SECOND_NANOS, 11 * SECOND_NANOS);
+    assertThat(log.suspendedSinceNanos(before)).isEqualTo(10 * SECOND_NANOS);
+
+    advance(SECOND_NANOS, SECOND_NANOS);
+    assertThat(log.suspendedSinceNanos(monotonic)).isZero();
+    assertThat(log.suspendedSinceNanos(before)).isEqualTo(10 * SECOND_NANOS);
   }
 
   @Test
-  public void aMomentBetweenSuspensionAndNoticeCountsAsBefore() {
-    long woken = steady + MILLI;
-    pass(2 * MILLI, 5 * SECOND);
+  public void timeBetweenResumeAndNoticeCountsAsEarlier() {
+    long woken = monotonic + MILLI_NANOS;
+    advance(2 * MILLI_NANOS, 5 * SECOND_NANOS);
 
-    assertThat(log.suspendedSinceNanos(woken)).isEqualTo(5 * SECOND - 2 * MILLI);
+    assertThat(log.suspendedSinceNanos(woken)).isEqualTo(5 * SECOND_NANOS - 2 * MILLI_NANOS);
   }
 
   @Test
   public void suspensionsAddUp() {
-    long before = steady;
-    pass(SECOND, 3 * SECOND);
-    pass(SECOND, 5 * SECOND);
+    long before = monotonic;
+    advance(SECOND_NANOS, 3 * SECOND_NANOS);
+    advance(SECOND_NANOS, 5 * SECOND_NANOS);
 
-    assertThat(log.suspendedSinceNanos(before)).isEqualTo(6 * SECOND);
+    assertThat(log.suspendedSinceNanos(before)).isEqualTo(6 * SECOND_NANOS);
   }
 
   @Test
-  public void aClockSetBackIsNoTimeAndHidesNoLaterSuspension() {
-    long before = steady;
-    pass(SECOND, -2 * SECOND);
+  public void clockSetBackIsIgnoredAndHidesNoLaterSuspension() {
+    long before = monotonic;
+    advance(SECOND_NANOS, -2 * SECOND_NANOS);
     assertThat(log.suspendedSinceNanos(before)).isZero();
-    pass(SECOND, 4 * SECOND);
+    advance(SECOND_NANOS, 4 * SECOND_NANOS);
 
-    assertThat(log.suspendedSinceNanos(before)).isEqualTo(3 * SECOND);
+    assertThat(log.suspendedSinceNanos(before)).isEqualTo(3 * SECOND_NANOS);
   }
 
   @Test
-  public void noneIsLostHoweverManyThereAre() {
-    long before = steady;
+  public void mergedSuspensionsAreNotLost() {
+    long before = monotonic;
     for (int suspension = 0; suspension < 100; suspension++) {
-      pass(SECOND, 2 * SECOND);
+      advance(SECOND_NANOS, 2 * SECOND_NANOS);
     }
 
-    assertThat(log.suspendedSinceNanos(before)).isEqualTo(100 * SECOND);
+    assertThat(log.suspendedSinceNanos(before)).isEqualTo(100 * SECOND_NANOS);
   }
 
-  private void pass(long steadyNanos, long otherNanos) {
-    steady += steadyNanos;
-    other += otherNanos;
-    log.compareClocks(steady, other);
+  private void advance(long monotonicNanos, long wallNanos) {
+    monotonic += monotonicNanos;
+    wall += wallNanos;
+    log.compareClocks(monotonic, wall);
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/waiting/FairQueueTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/waiting/FairQueueTest.java
@@ -20,45 +20,45 @@
   }
 
   @Test
-  public void theNewestOfOneTenantIsNext() {
+  public void newestWorkOfTenantGoesFirst() {
     queue.add("old", 1, "t");
     queue.add("new", 1, "t");
-    assertThat(all()).containsExactly("new", "old");
+    assertThat(pollAll()).containsExactly("new", "old");
   }
 
   @Test
-  public void tenantsOfOnePriorityTakeTurns() {
+  public void tenantsOfSamePriorityTakeTurns() {
     for (int i = 0; i < 7; i++) {
       queue.add("hot-" + i, 1, "hot");
     }
     queue.add("quiet-1", 1, "quiet");
     queue.add("quiet-2", 1, "quiet");
     queue.add("hot-7", 1, "hot");
-    assertThat(all().subList(0, 4)).contains("quiet-1", "quiet-2");
+    assertThat(pollAll().subList(0, 4)).contains("quiet-1", "quiet-2");
   }
 
   @Test
-  public void theMoreUrgentGoesFirstAndTheLessUrgentIsNotStarved() {
+  public void urgentWorkGoesFirstAndLeastUrgentIsNotStarved() {
     for (int i = 0; i < 8; i++) {
       queue.add("urgent-" + i, 0, "t");
     }
     queue.add("later", 2, "t");
-    List<String> order = all();
+    List<String> order = pollAll();
     assertThat(order.get(0)).startsWith("urgent");
     assertThat(order.indexOf("later")).isEqualTo(3);
   }
 
   @Test
-  public void whatWaitsNoMoreIsNotNext() {
+  public void removedWorkIsNotPolled() {
     queue.add("one", 1, "t");
     queue.add("two", 1, "t");
     assertThat(queue.remove("two")).isTrue();
     assertThat(queue.remove("two")).isFalse();
-    assertThat(all()).containsExactly("one");
+    assertThat(pollAll()).containsExactly("one");
     assertThat(queue.isEmpty()).isTrue();
   }
 
-  private List<String> all() {
+  private List<String> pollAll() {
     List<String> order = new ArrayList<>();
     while (!queue.isEmpty()) {
       order.add(queue.poll().orElseThrow());
