--- a/arrowarch-core/src/main/java/io/arrowarch/core/feed/ChangeTimes.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/feed/ChangeTimes.java
@@ -61,7 +61,10 @@
     return Duration.ofNanos(nowNanos - since);
   }
 
-  /** Called before a listing is delivered: its changes date from any time since the last sync. */
+  /**
+   * Called before a listing is delivered. Its changes may have been made at any time since the view
+   * was last known to be complete.
+   */
   void beforeListing() {
     earliestChangeNanos = completeUntilNanos.orElse(LONG_AGO_NANOS);
     earliestDeletionNanos = behindSinceNanos.orElse(clock.nanoTime());
--- a/arrowarch-core/src/main/java/io/arrowarch/core/feed/StoreFollower.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/feed/StoreFollower.java
@@ -17,14 +17,17 @@
  * <p>A watch gets no answer, ever, if the network drops its packets or its answer is lost. Every
  * router therefore uses short waits. In a zone with many routers most follow a relay by the same
  * calls, and follow the store only if no relay answers. Routers receive from their peers the
- * revisions that those know; a router that stays behind repeats its call, to another source where
+ * revisions that those know. A router that stays behind repeats its call, to another source if
  * there is one. While the store does not answer a router, it applies the listing of a peer that is
  * ahead.
  */
 public final class StoreFollower {
   static final Duration LIST_TIMEOUT = Duration.ofSeconds(2);
 
-  /** A change reaches all routers within this time; one that is behind for longer has missed it. */
+  /**
+   * A change reaches all routers within this time of each other. A router that is behind for longer
+   * has missed it.
+   */
   static final Duration PROPAGATION_SLACK = Duration.ofMillis(1_200);
 
   /** A router that has been behind for longer also requests listings from other zones. */
