--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateChooser.java
@@ -13,18 +13,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides which parts of a search other routers run, and which ones. Where servers have connections
- * for every router, this one asks them all itself; else each group of shards goes to the least
- * loaded of its gatherers.
+ * Chooses the groups of shards to delegate and the router for each. If the servers accept enough
+ * connections for every router, nothing is delegated; otherwise each group goes to the least loaded
+ * of its gatherers.
  */
 final class DelegateChooser {
   /**
-   * Handing on must cost less than this part of the objective: running all parts of a wide search
-   * on a small machine costs more.
+   * The delegation overhead must be below this fraction of the objective. The limit can be this
+   * high because running all parts of a wide search on a small machine takes longer still.
    */
   private static final double LONGEST_WAY = 0.5;
 
-  /** A delegate that holds a search for this many objectives stands still. */
+  /** A delegate that has held a search for this many times the objective counts as stalled. */
   private static final double STALL_OBJECTIVES = 1.25;
 
   private final ForwardOptions options;
@@ -35,7 +35,7 @@
   private final Map<NearbyRouter, DelegateState> states = new HashMap<>();
   private ImmutableList<NearbyRouter> known = ImmutableList.of();
 
-  /** A router and what to hand to it. */
+  /** A router and the shards to delegate to it. */
   record Choice(NearbyRouter delegate, ImmutableList<String> shards) {}
 
   DelegateChooser(
@@ -51,12 +51,12 @@
     this.random = random;
   }
 
-  /** What is known of a router. */
+  /** The state of a router as a delegate; created on first use. */
   DelegateState state(NearbyRouter router) {
     return states.computeIfAbsent(router, added -> new DelegateState());
   }
 
-  /** What to hand on of a search, and to whom. */
+  /** Chooses a delegate for each group of shards; this router runs the groups that are left out. */
   ImmutableList<Choice> choose(ImmutableList<String> shards, Route route, long nowNanos) {
     if (!layout.isGathered(shards.get(0))) {
       return ImmutableList.of();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateFailure.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateFailure.java
@@ -2,13 +2,13 @@
 
 import java.util.Locale;
 
-/** How a search that was handed on ended without a reply. */
+/** Why a delegated search ended without a reply. */
 public enum DelegateFailure {
-  /** No connection came up: nothing was sent. */
+  /** No connection could be opened; nothing was sent. */
   UNREACHABLE,
-  /** The connection broke, or what came is no reply. */
+  /** The connection broke, or the reply was malformed. */
   BROKEN,
-  /** Nothing came in time. */
+  /** No reply came in time. */
   SILENT;
 
   /** Whether servers may have run the search. */
@@ -16,7 +16,7 @@
     return this != UNREACHABLE;
   }
 
-  /** The stable name in logs. */
+  /** The name in log lines; stable. */
   String logName() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateReply.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateReply.java
@@ -3,18 +3,18 @@
 import io.arrowarch.core.error.QueryError;
 import java.time.Duration;
 
-/** What a router says of a search that another handed to it. */
+/** A delegate's reply to a delegated search. */
 public sealed interface DelegateReply {
   /**
-   * It has an answer.
+   * The delegate has an answer.
    *
-   * @param took from receipt to answer, so that the other router knows what the way costs
-   * @param inProgress requests that it works on
+   * @param took time from receipt to answer, from which the delegating router derives the overhead
+   * @param inProgress number of requests in progress at the delegate
    */
   record Answered(ForwardedAnswer.Merged answer, Duration took, int inProgress)
       implements DelegateReply {}
 
-  /** It has not run the search and never will. */
+  /** The delegate has not run the search and never will. */
   record Declined(String reason) implements DelegateReply {}
 
   /** The search has failed, and servers may have run it. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateState.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * What one router knows of another as a delegate: what it was handed, how it did, the way to it.
- * The way is kept as TCP keeps its round-trip time (RFC 6298): a mean and a mean deviation.
+ * What this router knows about another one as a delegate: open searches, suspension after failures,
+ * and the delegation overhead. The overhead is estimated as TCP estimates its round-trip time (RFC
+ * 6298), by a smoothed mean and a mean deviation.
  */
 final class DelegateState {
   private static final Duration FIRST_SUSPENSION = Duration.ofSeconds(1);
@@ -15,7 +16,10 @@
   private static final double DEVIATION_WEIGHT = 0.25;
   private static final int DEVIATIONS = 4;
 
-  /** What was measured of the way counts half after this long, so that it is tried again. */
+  /**
+   * The overhead estimate halves in this time without an answer, so that a slow delegate is tried
+   * again.
+   */
   private static final Duration WAY_HALF_LIFE = Duration.ofSeconds(5);
 
   private final Map<Long, Long> openSince = new LinkedHashMap<>();
@@ -36,9 +40,10 @@
   }
 
   /**
-   * Takes an answer.
+   * Records an answer.
    *
-   * @param way what handing on has cost, beside the delegate's own work
+   * @param way nanoseconds from sending to answer, without the delegate's own processing time
+   * @param inProgress number of requests in progress at the delegate
    */
   void onAnswered(long way, int inProgress, long nowNanos) {
     suspensions = 0;
@@ -54,7 +59,9 @@
     measuredNanos = nowNanos;
   }
 
-  /** Notes that it takes no searches, or loses them. */
+  /**
+   * Suspends the delegate after it has declined or lost a search; repeated suspensions last longer.
+   */
   void suspend(long nowNanos) {
     int doublings = Math.min(suspensions, MAXIMUM_DOUBLINGS);
     suspendedUntilNanos = nowNanos + (FIRST_SUSPENSION.toNanos() << doublings);
@@ -65,18 +72,18 @@
     return nowNanos < suspendedUntilNanos;
   }
 
-  /** How long the oldest search has been there; 0 without one. */
+  /** The age of the oldest open search; 0 if there is none. */
   long oldestOpenNanos(long nowNanos) {
     return openSince.isEmpty() ? 0 : nowNanos - openSince.values().iterator().next();
   }
 
-  /** What the way is likely to cost at most; 0 while nothing is known. */
+  /** An upper estimate of the delegation overhead; 0 before the first answer. */
   double wayNanos(long nowNanos) {
     double halfLives = (double) (nowNanos - measuredNanos) / WAY_HALF_LIFE.toNanos();
     return (meanNanos + DEVIATIONS * deviationNanos) * Math.pow(0.5, halfLives);
   }
 
-  /** Requests that it is likely to hold. */
+  /** The estimated number of requests in progress at the delegate. */
   int load() {
     return openSince.size() + reportedInProgress;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateTransport.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateTransport.java
@@ -2,9 +2,9 @@
 
 import io.arrowarch.core.peer.NearbyRouter;
 
-/** Hands searches to other routers. Outcomes go to {@link ForwardCoordinator}. */
+/** Sends searches to other routers. Outcomes are reported to {@link ForwardCoordinator}. */
 public interface DelegateTransport {
-  /** Hands no search on: each ends as unreachable. For routers that know no others. */
+  /** Sends nothing. For routers that know no others and therefore never delegate. */
   DelegateTransport NONE =
       new DelegateTransport() {
         @Override
@@ -14,9 +14,9 @@
         public void cancel(long number) {}
       };
 
-  /** Sends a search; its end is told once, never before this method returns. */
+  /** Sends a search. Its end is reported once, never before this method returns. */
   void send(long number, NearbyRouter delegate, DelegatedSearch search);
 
-  /** Makes the other router stop; nothing is told of the search any more. */
+  /** Cancels the search on the other router. Its end is not reported. */
   void cancel(long number);
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegatedSearch.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegatedSearch.java
@@ -8,14 +8,16 @@
 import java.time.Duration;
 
 /**
- * Parts of a search that one router hands to another, nearer to their servers.
+ * Parts of a search that one router delegates to another, which is nearer to their servers.
  *
- * @param request as the caller sent it
- * @param version of the configuration of the router that hands it on
- * @param parts what is searched by that version, whatever the other router's says
- * @param timeLeft how long the caller can be held
- * @param objectiveLeft how long an answer is in time; negative when it is late already
- * @param isProven whether a server has run the request to an answer, so that it ends none
+ * @param request the request as the caller sent it
+ * @param version version of the delegating router's configuration
+ * @param parts the parts to search, by the delegating router's configuration; the delegate's own
+ *     configuration does not change them
+ * @param timeLeft time until the request times out
+ * @param objectiveLeft time until the answer is late; negative if it is late already
+ * @param isProven whether a server has already run the request to an answer, so that it is not
+ *     suspected of crashing servers
  */
 public record DelegatedSearch(
     ForwardedRequest request,
@@ -31,12 +33,12 @@
     requireNonNull(objectiveLeft, "objectiveLeft is null");
   }
 
-  /** The shards of the parts. */
+  /** The shards to search. */
   public ImmutableList<String> shards() {
     return parts.services();
   }
 
-  /** The route with these parts. */
+  /** The route restricted to these parts. */
   Route narrow(Route route) {
     return route.withTarget(parts);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegatedSearches.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegatedSearches.java
@@ -16,7 +16,9 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
-/** Takes searches that other routers hand on, or declines them. They are not handed on again. */
+/**
+ * Runs or declines searches that other routers delegate to this one; never delegates them again.
+ */
 final class DelegatedSearches {
   private final Supplier<Optional<RoutingConfiguration>> configuration;
   private final TenantAdmission tenants;
@@ -27,7 +29,7 @@
   private final RandomGenerator random;
   private final Runner runner;
 
-  /** Runs a search here. */
+  /** Runs a search on this router. */
   interface Runner {
     ForwardHandle run(
         ForwardedRequest request,
@@ -38,11 +40,11 @@
   }
 
   /**
-   * Creates a taker of searches.
+   * Creates a handler of delegated searches.
    *
-   * @param configuration in force
-   * @param inProgress requests without a final answer
-   * @param maximumRequests in progress, above which searches are declined
+   * @param configuration the configuration in force, if any
+   * @param inProgress number of requests in progress on this router
+   * @param maximumRequests number of requests in progress from which on searches are declined
    */
   DelegatedSearches(
       Supplier<Optional<RoutingConfiguration>> configuration,
@@ -72,7 +74,7 @@
             .flatMap(known -> known.match(request.host(), request.target()))
             .filter(matched -> matched.target() instanceof RouteTarget.AllShards);
     if (route.isEmpty()) {
-      return decline("no search has this host and path", sink);
+      return decline("no search route matches the host and path", sink);
     }
     if (inProgress.getAsInt() >= maximumRequests) {
       return decline("too many requests are in progress", sink);
@@ -102,7 +104,10 @@
     return ForwardHandle.NONE;
   }
 
-  /** Not declined: it would be handed to the next router, which may not know of it yet. */
+  /**
+   * Fails the search rather than declining it: after a decline it would be delegated to another
+   * router, which may not know yet that the request is suspected.
+   */
   private static ForwardHandle refuseSuspected(Consumer<DelegateReply> sink) {
     sink.accept(
         new DelegateReply.Failed(
@@ -119,7 +124,7 @@
           ? new DelegateReply.Declined(error.detail())
           : new DelegateReply.Failed(error);
     }
-    // Only searches are handed on, and their answers are merged.
+    // Only searches are delegated, and their answers are merged.
     ForwardedAnswer.Merged answer = (ForwardedAnswer.Merged) outcome.get();
     Duration took = Duration.ofNanos(clock.nanoTime() - arrivalNanos);
     return new DelegateReply.Answered(answer, took, inProgress.getAsInt());
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Delegator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Delegator.java
@@ -3,16 +3,17 @@
 import com.google.common.collect.ImmutableList;
 import io.arrowarch.core.route.Route;
 
-/** Hands parts of searches to other routers. */
+/** Delegates parts of searches to other routers. */
 interface Delegator {
-  /** Hands nothing on. */
+  /** Delegates nothing. */
   Delegator NONE = (search, listener) -> ImmutableList.of();
 
   /**
-   * A search whose parts may be handed on.
+   * A search whose parts may be delegated.
    *
-   * @param version of the configuration that the route is from
-   * @param isProven whether a server has run the request to an answer already
+   * @param version version of the configuration that the route belongs to
+   * @param shards the shards that may be delegated
+   * @param isProven whether a server has already run the request to an answer
    */
   record Search(
       ForwardedRequest request,
@@ -22,27 +23,32 @@
       ImmutableList<String> shards,
       boolean isProven) {}
 
-  /** Told how parts that were handed on have ended; once a group, unless it is cancelled. */
+  /** Notified once of the end of each delegated group, unless the group is cancelled. */
   interface Listener {
-    /** The other router has answered for them, perhaps without some. */
+    /** The other router has answered; some parts may be missing from the answer. */
     void onAnswered(Handed handed, ForwardedAnswer.Merged answer);
 
-    /** Nothing has run of them, and nothing will. */
+    /** The other router has run none of the parts and never will. */
     void onDeclined(Handed handed);
 
-    /** They may have run, and no answer will come. */
+    /** The parts may have run, and no answer will come. */
     void onLost(Handed handed);
   }
 
-  /** Parts that were handed to one router. */
+  /** Parts of a search that are delegated to one router. */
   interface Handed {
-    /** The shards of these parts. */
+    /** The shards of the group. */
     ImmutableList<String> shards();
 
-    /** Makes the other router stop. */
+    /** Cancels the group on the other router. */
     void cancel();
   }
 
-  /** Hands parts of a search on, if that is of use; the listener is told later. */
+  /**
+   * Delegates groups of a search's parts where another router should run them.
+   *
+   * @param listener notified after this method has returned
+   * @return the delegated groups; this router runs all other parts
+   */
   ImmutableList<Handed> handOn(Search search, Listener listener);
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
@@ -11,28 +11,31 @@
 import java.util.OptionalInt;
 
 /**
- * Which routers gather the parts of wide searches for the others, as this one sees it. They stand
- * in the zones where the shards have servers, so that one merged answer crosses between zones in
- * place of all parts; they are the larger machines there, and so few that their connections to the
- * servers are used often and their code is warm.
+ * The routers that gather the parts of scatter-gather searches for other routers, as this router
+ * sees them. Gatherers are in the zones of the shards' servers, so that one merged answer crosses
+ * zones instead of every part. They are the larger machines of these zones. They are few, so that
+ * their connections to the servers are reused often and their code is compiled.
  */
 final class Gatherers {
   /**
-   * A zone is near the servers unless another has one of so many more of the shards, from 0 to 1.
-   * With less between them the bytes saved are not worth the longer way (docs/rounds/large.md).
+   * A zone counts as near the servers if its share of the shards, from 0 to 1, is at most this much
+   * below the best zone's. For a smaller difference the bytes saved are not worth the longer path.
    */
   private static final double COVERAGE_SLACK = 0.3;
 
   /**
-   * A router that knows servers of fewer of the shards misses news of the store: any other may know
+   * The share of the shards, from 0 to 1, of which a router must know a server. Below it the router
+   * is missing updates from the store and leaves the gathering to any other router, which may know
    * more.
    */
   private static final double LEAST_KNOWN = 0.5;
 
-  /** Machines of this part of the largest one's processor are as good. */
+  /**
+   * A machine with at least this fraction of the cores of the largest may be a primary gatherer.
+   */
   private static final double NEARLY_LARGEST = 0.6;
 
-  /** How long a choice holds; members and servers change slowly. */
+  /** How long a choice is cached; members and servers change slowly. */
   private static final Duration LIFE = Duration.ofMillis(200);
 
   private final ForwardOptions options;
@@ -44,12 +47,12 @@
   private long chosenNanos = Long.MIN_VALUE;
 
   /**
-   * The gatherers of a group that this router would use.
+   * The gatherers that this router would use for a group of shards.
    *
-   * @param first the other routers to hand the group to
-   * @param reserve where none of the first takes it
-   * @param ownRole whether this router is one of them itself
-   * @param sharing how many gatherers of first rank there are in all zones
+   * @param first primary gatherers, without this router
+   * @param reserve backup gatherers, for when no primary one is available
+   * @param ownRole whether this router is a gatherer of the group itself
+   * @param sharing number of primary gatherers in all zones, at least 1
    */
   record Choice(
       ImmutableList<NearbyRouter> first,
@@ -57,13 +60,13 @@
       OwnRole ownRole,
       int sharing) {}
 
-  /** What a router is for a group itself. */
+  /** The role of this router for a group of shards. */
   enum OwnRole {
-    /** Gathers it for others and itself. */
+    /** Gathers the group for itself and for other routers. */
     FIRST,
-    /** Gathers it where no router of first rank can. */
+    /** Gathers the group when no primary gatherer is available. */
     RESERVE,
-    /** Hands it on. */
+    /** Delegates the group. */
     NONE
   }
 
@@ -80,7 +83,10 @@
     this.clock = clock;
   }
 
-  /** How many routers share the servers of a shard, if this one gathers it. */
+  /**
+   * The number of routers that share the servers of a shard; empty unless this router is a primary
+   * gatherer of it.
+   */
   OptionalInt sharing(String shard) {
     Choice choice = of(layout.groupOf(shard));
     return choice.ownRole() == OwnRole.FIRST
@@ -143,7 +149,10 @@
     return new NearbyRouter(options.id(), 0, options.zone(), "", options.cores());
   }
 
-  /** Zones with routers in which about as many of the shards have a server as in any. */
+  /**
+   * The zones with routers whose share of the shards is within {@link #COVERAGE_SLACK} of the best
+   * zone's.
+   */
   private List<String> zonesNearServers(
       ImmutableList<String> group, Map<String, List<NearbyRouter>> byZone, long nowNanos) {
     Map<String, Double> shares = new HashMap<>();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/HandedParts.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/HandedParts.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import java.util.Set;
 
-/** The parts of one search that other routers run, and what came of them. */
+/** The parts of one search that are delegated to other routers, and their answers. */
 final class HandedParts implements Delegator.Listener {
-  /** Routers that are asked for a group, one after the other, before it is run here. */
+  /**
+   * The most rounds of delegation for one search: the first one, then one after each decline. Parts
+   * that are declined after the last round are run here.
+   */
   private static final int DELEGATES_TO_ASK = 3;
 
   private final ForwardExecution execution;
@@ -21,7 +24,7 @@
     this.parts = parts;
   }
 
-  /** Lets a delegator choose parts and hand them on. */
+  /** Delegates the groups of the search that the delegator chooses. */
   void handOn(Delegator delegator, Delegator.Search search) {
     asked++;
     for (Delegator.Handed group : delegator.handOn(search, this)) {
@@ -30,12 +33,12 @@
     }
   }
 
-  /** The merged answers of other routers that are in. */
+  /** The merged answers received from other routers. */
   List<ForwardedAnswer.Merged> answers() {
     return answers;
   }
 
-  /** Makes the other routers stop. */
+  /** Cancels the search on the other routers. */
   void cancel() {
     groups.forEach(Delegator.Handed::cancel);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
@@ -11,14 +11,16 @@
 import java.util.Map;
 
 /**
- * Hands parts of searches to routers nearer to their servers and follows each group to its end. A
- * group that the delegate has provably not run may be run here; one that it may have run and lost
- * may not, since its second runs would not be within the bounds of extra attempts.
+ * Delegates groups of parts to routers nearer to their servers and tracks each group until it ends.
+ * A group that the delegate has provably not run may be run here. A group that the delegate may
+ * have run must not be: its second runs would not be kept within the limits on extra attempts.
  */
 final class PartDelegator implements Delegator {
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** A delegate answers by the attempts' deadline; one that does not within this is silent. */
+  /**
+   * A delegate answers by the attempts' deadline; after this much more it is taken to be silent.
+   */
   private static final Duration SILENCE_SLACK = Duration.ofMillis(60);
 
   private final RouterClock clock;
@@ -64,7 +66,7 @@
     Group group = new Group(number, search, choice, state, listener, silence);
     groups.put(number, group);
     state.onSent(number, nowNanos);
-    // The answer must be back before it is due here.
+    // The delegate gets less time, so that its answer arrives before the deadline here.
     long kept = way.nanos(search.route().objective());
     transport.send(
         number,
@@ -79,14 +81,14 @@
     return group;
   }
 
-  /** Of a group, the same part must be covered as of the whole. */
+  /** The minimum coverage of the whole search also applies to each group. */
   private static RouteTarget.AllShards partsOf(Search search, DelegateChooser.Choice choice) {
-    // Only searches are handed on.
+    // Only searches are delegated.
     RouteTarget.AllShards all = (RouteTarget.AllShards) search.route().target();
     return new RouteTarget.AllShards(choice.shards(), all.limit(), all.minimumCoverage());
   }
 
-  /** Takes a delegate's reply. */
+  /** Handles a delegate's reply; ignores it if the group has ended already. */
   void onReply(long number, DelegateReply reply) {
     Group group = groups.remove(number);
     if (group == null) {
@@ -110,7 +112,7 @@
     }
   }
 
-  /** Takes the end of a group without a reply. */
+  /** Handles the end of a group without a reply; ignores it if the group has ended already. */
   void onFailure(long number, DelegateFailure failure) {
     Group group = groups.remove(number);
     if (group == null) {
@@ -140,7 +142,7 @@
             (clock.nanoTime() - group.startNanos) / NANOS_PER_MILLI));
   }
 
-  /** Parts at a delegate. */
+  /** A group of parts that a delegate is running. */
   private final class Group implements Handed {
     private final long number;
     private final Search search;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchLayout.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchLayout.java
@@ -11,28 +11,31 @@
 import java.util.function.IntSupplier;
 
 /**
- * What a configuration says of searches and of the connections that servers take, and what follows
- * for the routers together: whether each asks all servers itself, or some gather for the others.
+ * Decides, from the searches and connection limits of a configuration, whether every router queries
+ * all servers itself or some routers gather for the others.
  */
 final class SearchLayout {
   /**
-   * The part of a server's connections that routers use. The rest is for those that are being
-   * opened or closed, and for what servers still hold of routers that have lost power.
+   * The fraction of a server's connections that routers use. The rest is for connections that are
+   * being opened or closed, and for those that servers still hold open to routers that lost power.
    */
   private static final double USED_FRACTION = 2.0 / 3;
 
-  /** Of a service whose settings say nothing. */
+  /** The connection limit of a server whose service has no settings. */
   private static final int DEFAULT_CONNECTIONS = 16;
 
-  /** With fewer connections to a server a router often waits for one, or goes elsewhere. */
+  /**
+   * Connections that a router needs at one server. With fewer it often waits for a free one or uses
+   * another server.
+   */
   private static final int WANTED_CONNECTIONS = 2;
 
-  /** What is gathered outlives the loss of a router. */
+  /** Gathering must survive the loss of a router. */
   private static final int FEWEST_GATHERERS = 2;
 
   /**
-   * Parts of one search that one router gathers at most. A part costs it 0.1 ms when its code is
-   * compiled (docs/rounds/farmbru.md), so that so many take a quarter of the tightest objective.
+   * The most parts of one search that one router gathers. A part takes 0.1 ms of its time once its
+   * code is compiled, so that this many take a quarter of the tightest objective.
    */
   private static final int WIDEST_GROUP = 150;
 
@@ -42,9 +45,9 @@
   private final Map<String, ImmutableList<String>> groupOfShard = new HashMap<>();
 
   /**
-   * Creates a layout of no configuration.
+   * Creates a layout without a configuration.
    *
-   * @param routers how many routers share servers
+   * @param routers number of routers that share the servers
    * @param mayGather whether some routers may gather for the others
    */
   SearchLayout(IntSupplier routers, boolean mayGather) {
@@ -67,18 +70,18 @@
     }
   }
 
-  /** The groups of a search's shards, each of which one router can gather. */
+  /** Splits the shards of a search into groups that one router can gather. */
   static ImmutableList<ImmutableList<String>> groups(ImmutableList<String> shards) {
     int count = (shards.size() + WIDEST_GROUP - 1) / WIDEST_GROUP;
     return ShardGroups.split(shards, count);
   }
 
-  /** The group that a shard is gathered with; empty for a service that is no shard. */
+  /** The group that contains a shard; empty for a service that is not a shard. */
   ImmutableList<String> groupOf(String shard) {
     return groupOfShard.getOrDefault(shard, ImmutableList.of());
   }
 
-  /** Whether a shard's servers have too few connections for every router to ask them itself. */
+  /** Whether a shard's servers accept too few connections for every router to query them itself. */
   boolean isGathered(String service) {
     return mayGather
         && groupOfShard.containsKey(service)
@@ -92,12 +95,12 @@
         .collect(ImmutableSet.toImmutableSet());
   }
 
-  /** How many routers have enough connections to a shard's servers to gather it. */
+  /** The number of routers that can gather a shard within its servers' connections; at least 2. */
   int gatherersAllowed(String shard) {
     return Math.max(FEWEST_GATHERERS, (int) (used(shard) / WANTED_CONNECTIONS));
   }
 
-  /** Connections that all routers together use at one server of a service; 1 at least. */
+  /** Connections that all routers together use at one server of a service; at least 1. */
   double used(String service) {
     return Math.max(1, USED_FRACTION * connections.getOrDefault(service, DEFAULT_CONNECTIONS));
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchRole.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchRole.java
@@ -1,11 +1,11 @@
 package io.arrowarch.core.forward;
 
-/** What a router is for the searches of its fleet. */
+/** The role of a router in the searches of its fleet. */
 public enum SearchRole {
-  /** Every router asks all servers itself. */
+  /** Queries all servers itself, as every router does. */
   ALONE,
-  /** Gathers searches for others, or would where those of first rank fail. */
+  /** Gathers searches for other routers, as a primary or a backup gatherer. */
   GATHERS,
-  /** Hands searches on. */
+  /** Delegates searches to gatherers. */
   HANDS_ON
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ShardGroups.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ShardGroups.java
@@ -10,16 +10,17 @@
 import java.util.List;
 
 /**
- * Splits the shards of wide searches into groups and ranks the routers that may gather one. Every
- * router comes to the same answer: groups follow the order of the route's shards, and routers of
- * equal machines are ranked by rendezvous hash, so that one that comes or goes moves no other.
+ * Splits the shards of wide searches into groups and ranks the routers that may gather a group.
+ * Every router gets the same result. Groups follow the order of the route's shards. Routers with
+ * the same number of cores are ranked by rendezvous hashing, so that a router that joins or leaves
+ * does not change the order of the others.
  */
 final class ShardGroups {
   private static final HashFunction HASH = Hashing.murmur3_128();
 
   private ShardGroups() {}
 
-  /** The groups, of even size, in the order of the shards; fewer where there are few shards. */
+  /** Splits shards, in their order, into at most {@code groups} groups of even size. */
   static ImmutableList<ImmutableList<String>> split(ImmutableList<String> shards, int groups) {
     int size = (shards.size() + groups - 1) / groups;
     return Lists.partition(shards, size).stream()
@@ -27,7 +28,7 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  /** Routers in the order in which they gather a group: larger machines first. */
+  /** Ranks the routers for a group, the most suitable one first: by cores, then by hash. */
   static ImmutableList<NearbyRouter> ranked(
       ImmutableList<String> group, List<NearbyRouter> routers) {
     return routers.stream()
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ZoneCoverage.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ZoneCoverage.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** In which zones the shards of searches have usable servers, as counted a moment ago. */
+/** The zones in which the shards of searches have usable servers, cached for a short time. */
 final class ZoneCoverage {
   private static final Duration LIFE = Duration.ofMillis(200);
 
@@ -21,7 +21,7 @@
     this.directory = directory;
   }
 
-  /** The part of the shards, from 0 to 1, that have a usable server in any zone. */
+  /** The fraction of the shards, from 0 to 1, with a usable server in any zone. */
   double known(List<String> shards, long nowNanos) {
     int known = 0;
     for (String shard : shards) {
@@ -32,7 +32,7 @@
     return (double) known / shards.size();
   }
 
-  /** The part of the shards, from 0 to 1, that have a usable server in a zone. */
+  /** The fraction of the shards, from 0 to 1, with a usable server in the given zone. */
   double share(String zone, List<String> shards, long nowNanos) {
     int covered = 0;
     for (String shard : shards) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/route/Route.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/route/Route.java
@@ -6,17 +6,17 @@
 import java.time.Duration;
 
 /**
- * How requests of one host and path prefix are passed on.
+ * How requests for one host and path prefix are forwarded.
  *
  * @param host lower case, without port
  * @param pathPrefix begins and ends with a slash
  * @param repeatable whether a request may run more than once
- * @param timeout the longest time that a request may be held
- * @param objective the time within which an answer earns its full worth
- * @param maximumAttempts the most servers that one request (of a search: one shard) may run on
- * @param priority rank under overload; 0 is the most urgent
- * @param isPublic whether its requests need no key
- * @param regions where servers and gathering routers must be; empty where any will do
+ * @param timeout time after which a request without an answer fails
+ * @param objective time within which an answer is on time; a late one is worth less
+ * @param maximumAttempts the most servers that one request, or one shard of a search, may run on
+ * @param priority priority under overload; 0 is the most urgent
+ * @param isPublic whether requests need no API key
+ * @param regions regions in which servers and gathering routers must be; empty for any
  */
 public record Route(
     String name,
@@ -40,17 +40,17 @@
     requireNonNull(target, "target is null");
   }
 
-  /** The same route with another rank. */
+  /** The same route with another priority. */
   public Route withPriority(int changed) {
     return with(maximumAttempts, changed, target);
   }
 
-  /** The same route to something else. */
+  /** The same route with another target. */
   public Route withTarget(RouteTarget changed) {
     return with(maximumAttempts, priority, changed);
   }
 
-  /** The same route with another number of servers that may run a request. */
+  /** The same route with another maximum of attempts. */
   public Route withMaximumAttempts(int changed) {
     return with(changed, priority, target);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/route/RouteTarget.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/route/RouteTarget.java
@@ -4,11 +4,11 @@
 
 /** Where the requests of a route go. */
 public sealed interface RouteTarget {
-  /** One server of one service; the service is drawn in proportion to the weights. */
+  /** One server of one service, which is drawn at random in proportion to the weights. */
   record OneServer(ImmutableList<WeightedService> services) implements RouteTarget {
     public OneServer {
       if (services.isEmpty()) {
-        throw new IllegalArgumentException("a route needs a service");
+        throw new IllegalArgumentException("route has no service");
       }
     }
   }
@@ -16,8 +16,8 @@
   /**
    * One server of each shard; every shard is a service of its own.
    *
-   * @param limit the most records of the merged answer
-   * @param minimumCoverage share of the shards that an answer needs, from 0 to 1
+   * @param limit the most records in the merged answer
+   * @param minimumCoverage the fraction of the shards that an answer must cover, from 0 to 1
    */
   record AllShards(ImmutableList<String> services, int limit, double minimumCoverage)
       implements RouteTarget {
@@ -25,11 +25,11 @@
 
     public AllShards {
       if (services.isEmpty()) {
-        throw new IllegalArgumentException("a search needs a shard");
+        throw new IllegalArgumentException("search has no shard");
       }
     }
 
-    /** The least number of shards that an answer may be drawn from; 1 at least. */
+    /** The smallest number of shards that an answer must cover; at least 1. */
     public int minimumParts() {
       return Math.max(1, (int) Math.ceil(minimumCoverage * services.size() - ROUNDING));
     }
@@ -38,7 +38,7 @@
   /**
    * A service of a weighted route.
    *
-   * @param weight share of the requests relative to the other services of the route; 0 is none
+   * @param weight share of the requests relative to the route's other services; 0 for none
    */
   record WeightedService(String service, double weight) {}
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/route/RoutingConfiguration.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/route/RoutingConfiguration.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** One version of the routes, immutable. A request is handled by one version from start to end. */
+/** One immutable version of the routes. A request uses the same version from start to end. */
 public final class RoutingConfiguration {
   private final long version;
   private final ImmutableList<Route> routes;
@@ -28,7 +28,9 @@
     this(version, routes, services, limits, Tenants.NONE);
   }
 
-  /** Creates a version; routes of one host are searched by the longest prefix. */
+  /**
+   * Creates a version. Among the routes of a host, the one with the longest matching prefix wins.
+   */
   public RoutingConfiguration(
       long version,
       ImmutableList<Route> routes,
@@ -46,27 +48,27 @@
             .collect(toImmutableListMultimap(Route::host, route -> route));
   }
 
-  /** Rises with every change; never taken twice or backwards. */
+  /** Increases with every change; a router never takes the same or an older version again. */
   public long version() {
     return version;
   }
 
-  /** All routes, in the order of the document. */
+  /** All routes, in the order of the configuration document. */
   public ImmutableList<Route> routes() {
     return routes;
   }
 
-  /** Settings by name of service. */
+  /** Settings by service name. */
   public ImmutableMap<String, ServiceSettings> services() {
     return services;
   }
 
-  /** What callers may send. */
+  /** Limits on the requests and connections of callers. */
   public CallerLimits limits() {
     return limits;
   }
 
-  /** Who may ask for routes that are not public. */
+  /** The tenants that may use routes that are not public. */
   public Tenants tenants() {
     return tenants;
   }
@@ -74,7 +76,7 @@
   /**
    * The route with the longest prefix of a path.
    *
-   * @param host value of the Host header; case and port do not matter
+   * @param host value of the Host header; case and port are ignored
    * @param path path of the request target, with or without a query
    */
   public Optional<Route> match(String host, String path) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/route/ServiceSettings.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/route/ServiceSettings.java
@@ -5,11 +5,11 @@
 import java.time.Duration;
 
 /**
- * What a configuration says of one service.
+ * Settings of one service.
  *
- * @param maximumConnections connections that each server of it takes from all routers together
+ * @param maximumConnections connections that each of its servers accepts from all routers together
  * @param warmUp how long a server is cold after its start
- * @param coldRequestsPerSecond what a cold server bears; 0 where no bound is told
+ * @param coldRequestsPerSecond requests per second that a cold server can take; 0 for no limit
  */
 public record ServiceSettings(
     String name, int maximumConnections, Duration warmUp, double coldRequestsPerSecond) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/AttemptVerdict.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/AttemptVerdict.java
@@ -2,16 +2,16 @@
 
 /** What an ended attempt says about its server. */
 public enum AttemptVerdict {
-  /** It answered. */
+  /** The server answered. */
   SOUND,
-  /** It said that it has no room. */
+  /** The server shed the request because it is full. */
   SHED,
-  /** It broke off, answered bytes that are no answer, or said nothing in time. */
+  /** The connection broke, the answer was malformed, or none came in time. */
   FAILED,
-  /** No connection came up. */
+  /** No connection could be opened. */
   UNREACHABLE,
-  /** Another server answered at its address. */
+  /** Another server answered at this server's address. */
   REPLACED,
-  /** Nothing: the router ended the attempt. */
+  /** Nothing about the server: the router ended the attempt. */
   NONE
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/LoadReport.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/LoadReport.java
@@ -1,14 +1,14 @@
 package io.arrowarch.core.server;
 
 /**
- * What a server says of its load in an answer, from all routers together.
+ * The load of a server, from all routers together, as it reports it in an answer.
  *
- * @param running requests that it works on
- * @param waiting requests in its queue
- * @param slots requests that it can work on at once
- * @param workFactor how many times as long as usual work takes there at this moment; 1 is usual
+ * @param running number of requests that are running
+ * @param waiting number of requests in its queue
+ * @param slots number of requests that it can run at once
+ * @param workFactor how many times as long as usual work takes at the moment; 1 is usual
  */
 public record LoadReport(int running, int waiting, int slots, double workFactor) {
-  /** The factor of a server that says nothing of it. */
+  /** The work factor of a server that reports none. */
   public static final double USUAL = 1;
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/OpenAttempts.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/OpenAttempts.java
@@ -4,14 +4,17 @@
 import java.util.Map;
 
 /**
- * The attempts of this router that a server has not answered, oldest first. An attempt that nobody
- * waits for any more stays here until it ends: its age tells whether the server stands still.
+ * The attempts of this router that a server has not answered, oldest first. An attempt whose
+ * request is over stays here until the attempt ends, because its age shows whether the server is
+ * stalled.
  */
 final class OpenAttempts {
-  /** An attempt open for this many times its expected length says that its server stands still. */
+  /**
+   * A server is stalled if an attempt is open for more than this many times its expected length.
+   */
   private static final double STALL_FACTOR = 3.0;
 
-  /** Shorter ages say nothing: the event loop of either side may be late. */
+  /** A younger attempt does not show a stall: the event loop of either side may be late. */
   private static final long MINIMUM_STALL_NANOS = 30_000_000;
 
   private final Map<Long, Open> open = new LinkedHashMap<>();
@@ -30,7 +33,7 @@
     return open.size();
   }
 
-  /** By how much the oldest attempt is older than any sound server would let it grow; 0 if not. */
+  /** How much longer the oldest attempt has been open than on a healthy server; 0 if it has not. */
   long stalledNanos(long nowNanos) {
     if (open.isEmpty()) {
       return 0;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerChooser.java
@@ -4,12 +4,15 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** Chooses the server that is likely to answer first. */
+/** Chooses the server with the shortest estimated time to answer. */
 public final class ServerChooser {
-  /** Of two servers with free slots, the one with less work is a little better. */
+  /**
+   * Cost of each request at a server, as a fraction of the expected length. Slightly favours the
+   * less loaded of two servers with free slots.
+   */
   private static final double COST_OF_LOAD = 0.15;
 
-  /** Spreads choices between equals. */
+  /** Range of the random cost, as a fraction of the expected length; spreads load over equals. */
   private static final double RANDOM_PART = 0.1;
 
   private final String zone;
@@ -22,7 +25,7 @@
   }
 
   /**
-   * The best of some servers.
+   * Chooses one of the given servers; empty if there are none.
    *
    * @param expectedNanos the usual length of an attempt of this kind
    * @param otherZoneNanos by how much a server of another zone must be faster to be chosen
@@ -42,13 +45,13 @@
     return Optional.ofNullable(best);
   }
 
-  /** When a server would answer, in nanoseconds, with a random part. */
+  /** The estimated time until a server would answer, in nanoseconds, with a random addition. */
   private double cost(ServerState server, long expectedNanos, long nowNanos) {
     double work = expectedNanos * server.slowness(nowNanos);
     double load = server.load(nowNanos);
     int slots = Math.max(1, server.entry().slots());
     double waiting = Math.max(0, load + 1 - slots) / slots;
-    // A server that has stood still for some time is likely to do so for as long again.
+    // A stalled server is likely to stay stalled for as long again.
     long stalled = server.stalledNanos(nowNanos);
     double stallCost = stalled == 0 ? 0 : 2.0 * expectedNanos + stalled;
     double even = expectedNanos * (COST_OF_LOAD * load + RANDOM_PART * random.nextDouble());
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerDirectory.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerDirectory.java
@@ -18,7 +18,10 @@
 
 /** The servers that a router knows, by id and by service. Owned by one router; not thread-safe. */
 public final class ServerDirectory {
-  /** A server that has gone is forgotten after this long, when nothing waits for it. */
+  /**
+   * How long a server is remembered after its last status change if it is not ready; longer while
+   * an attempt is open.
+   */
   private static final Duration MEMORY = Duration.ofSeconds(10);
 
   private final Duration lastResort;
@@ -29,22 +32,21 @@
   /**
    * Creates a directory without servers.
    *
-   * @param lastResort how long a server that is leaving is still used where its service has no
-   *     other
+   * @param lastResort how long a server that is leaving is still used if its service has no other
    */
   public ServerDirectory(Duration lastResort) {
     this.lastResort = lastResort;
   }
 
-  /** Takes an entry that was written just now. */
+  /** Updates a server from an entry that was written just now. */
   public boolean onEntry(ServerEntry entry, long nowNanos) {
     return onEntry(entry, nowNanos, nowNanos);
   }
 
   /**
-   * Takes an entry; returns whether it changes what the router believes of the server's life.
+   * Updates a server from an entry; returns whether the server is new or its status changes.
    *
-   * @param sinceNanos the earliest moment at which it may have been written
+   * @param sinceNanos the earliest time at which the entry may have been written
    */
   public boolean onEntry(ServerEntry entry, long sinceNanos, long nowNanos) {
     ServerState known = servers.get(entry.id());
@@ -59,15 +61,15 @@
     return before != known.status();
   }
 
-  /** Notes that a server's entry has gone just now; returns whether the server was known. */
+  /** Records that a server's entry was removed just now; returns whether the server was known. */
   public boolean onGone(String id, long nowNanos) {
     return onGone(id, nowNanos, nowNanos);
   }
 
   /**
-   * Notes that a server's entry has gone; returns whether the server was known.
+   * Records that a server's entry was removed; returns whether the server was known.
    *
-   * @param sinceNanos from when its absence is counted
+   * @param sinceNanos the time from which its absence is counted
    */
   public boolean onGone(String id, long sinceNanos, long nowNanos) {
     forgetOld(nowNanos);
@@ -79,24 +81,24 @@
     return true;
   }
 
-  /** Notes that a server has ended, since its place has started again. */
+  /** Records that a server has ended, because a new incarnation has started in its place. */
   public void onRestarted(String id, long nowNanos) {
     find(id).ifPresent(server -> server.onRestarted(nowNanos));
   }
 
-  /** Notes that a server says itself, or to another router, that it is leaving. */
+  /** Records that a server has told this or another router that it is draining. */
   public void onDraining(String id, long nowNanos) {
     find(id).ifPresent(server -> server.onDraining(nowNanos));
   }
 
-  /** From now on the servers of a zone get nothing; returns whether that is news. */
+  /** Stops the use of a zone's servers; returns false if the zone was evacuated already. */
   public boolean onEvacuated(String zone) {
     return evacuatedZones.add(zone);
   }
 
   /**
-   * The servers of a zone may be used again; returns whether that is news. They may have turned
-   * cold before their entries say so.
+   * Allows the use of a zone's servers again; returns false if the zone was not evacuated. The
+   * servers are treated as cold, because they may have become so before their entries say it.
    *
    * @param warmUpOf how long a server of a service is cold
    */
@@ -113,17 +115,17 @@
     return true;
   }
 
-  /** The zones whose servers get nothing. */
+  /** The zones whose servers are not used. */
   public Set<String> evacuatedZones() {
     return Collections.unmodifiableSet(evacuatedZones);
   }
 
-  /** Takes a report of load. */
+  /** Records a load report. */
   public void onReport(String id, LoadReport report, long nowNanos) {
     find(id).ifPresent(server -> server.onReport(report, nowNanos));
   }
 
-  /** Notes the start of an attempt, with the length that is expected of it. */
+  /** Records the start of an attempt and its expected length. */
   public void onStarted(String id, long attempt, long nowNanos, long expectedNanos) {
     find(id).ifPresent(server -> server.onStarted(attempt, nowNanos, expectedNanos));
   }
@@ -134,7 +136,7 @@
     find(id).ifPresent(server -> server.onEnded(attempt, verdict, relativeLatency, nowNanos));
   }
 
-  /** One server. */
+  /** The server with this id, unless it is unknown or forgotten. */
   public Optional<ServerState> find(String id) {
     return Optional.ofNullable(servers.get(id));
   }
@@ -150,11 +152,12 @@
   }
 
   /**
-   * The servers of a service that may take new work, of the best group that has any: there and
-   * sound; there but suspended; leaving a moment ago. One whose entry went a moment ago counts as
-   * there: entries also lapse, many at a time, while the store is away, and failures tell sooner
-   * that a server has ended. Servers of an evacuated zone are in no group, not even as a last
-   * resort.
+   * The servers of a service that may get new attempts. These are the servers of the first of the
+   * following groups that has any: available and not suspended; available but suspended; draining
+   * for less than the last-resort time. Servers of an evacuated zone are in no group.
+   *
+   * <p>A server whose entry was removed recently counts as available. Entries also lapse, many at a
+   * time, while the store is unavailable, and failed attempts show sooner that a server has ended.
    */
   public List<ServerState> usable(String service, long nowNanos) {
     List<ServerState> sound = new ArrayList<>();
@@ -176,7 +179,7 @@
     return suspended.isEmpty() ? lastResort : suspended;
   }
 
-  /** The servers of a service that are there, suspended ones included. */
+  /** The available servers of a service, suspended ones included. */
   public List<ServerState> there(String service, long nowNanos) {
     List<ServerState> there = new ArrayList<>();
     for (ServerState server : byService.get(service)) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerEntries.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerEntries.java
@@ -6,18 +6,18 @@
 import java.util.Optional;
 
 /**
- * The newest entry of each key of the directory, in the order that servers themselves give to what
- * they say. That order outlasts the store's: an older copy, or a router that is behind, may hold
- * what a server said before it ended.
+ * The newest entry of each key of the directory, ordered by the versions that servers give their
+ * own entries. This order holds where that of the store does not: an older copy of the store, or a
+ * router that is behind, may have an entry from before the server ended.
  */
 public final class ServerEntries {
-  /** Servers whose entries have gone, of which it is remembered what they said last. */
+  /** Maximum number of keys without an entry whose last version is kept. */
   private static final int REMEMBERED = 4_096;
 
   private final Map<String, ServerEntry> held = new HashMap<>();
   private final Map<String, ServerLife> gone = new LinkedHashMap<>();
 
-  /** Whether an entry was written before what is known of its key. */
+  /** Whether an entry is older than the last known entry of its key. */
   public boolean isStale(String key, ServerEntry entry) {
     ServerLife known =
         Optional.ofNullable(held.get(key))
@@ -26,13 +26,13 @@
     return entry.life().isBefore(known);
   }
 
-  /** Takes an entry; returns the one that it replaces, if there is any. */
+  /** Stores an entry; returns the one that it replaces, if any. */
   public Optional<ServerEntry> put(String key, ServerEntry entry) {
     gone.remove(key);
     return Optional.ofNullable(held.put(key, entry));
   }
 
-  /** Notes that a key names no server any more; returns the one that it named, if it did. */
+  /** Removes the entry of a key, keeping its version; returns the entry, if any. */
   public Optional<ServerEntry> remove(String key) {
     Optional<ServerEntry> removed = Optional.ofNullable(held.remove(key));
     removed.ifPresent(entry -> remember(key, entry.life()));
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerEntry.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerEntry.java
@@ -5,15 +5,15 @@
 import java.time.Duration;
 
 /**
- * What a server says of itself in the directory. Every start of a server has an id of its own here,
- * also where it answers to the name that the one before had.
+ * A server's entry in the directory, written by the server itself. Every incarnation of a server
+ * has its own id, even if it keeps the name of the one before.
  *
- * @param id of this start
- * @param name that it answers to
- * @param address IP:PORT; used again by other servers once this one has ended
- * @param slots requests that it works on at once
+ * @param id id of this incarnation
+ * @param name name to which the server answers; a restarted server may have the same
+ * @param address IP:PORT; may be reused by other servers after this one has ended
+ * @param slots number of requests that it can run at once
  * @param warmUpLeft how much longer it is slow after its start
- * @param life where in its lives it has said so
+ * @param life version of this entry, by the server's own count
  */
 public record ServerEntry(
     String id,
@@ -25,7 +25,7 @@
     boolean draining,
     Duration warmUpLeft,
     ServerLife life) {
-  /** Requires all. */
+
   public ServerEntry {
     requireNonNull(id, "id is null");
     requireNonNull(name, "name is null");
@@ -36,7 +36,7 @@
     requireNonNull(life, "life is null");
   }
 
-  /** Of a server that states no birth and never starts again under its id. */
+  /** The entry of a server that states no start time and never restarts under its id. */
   public ServerEntry(
       String id,
       String service,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerLife.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerLife.java
@@ -1,18 +1,18 @@
 package io.arrowarch.core.server;
 
 /**
- * Where in a server's lives something that it says of itself belongs, by its own word.
+ * The version of a server's entry, as the server itself states it.
  *
- * @param born Unix milliseconds of its start; 0 where it states none
- * @param sequence its own count, which begins anew with each start; 0 where it states none
+ * @param born start of the server's incarnation, in Unix milliseconds; 0 if not stated
+ * @param sequence count that begins anew with each incarnation; 0 if not stated
  */
 public record ServerLife(long born, long sequence) {
-  /** Of a server that states neither. */
+  /** The version of an entry whose server states neither. */
   public static final ServerLife UNSTATED = new ServerLife(0, 0);
 
   /**
-   * Whether this was said before something else of the same name. Counts are compared within one
-   * stated birth only: without one they may have begun anew.
+   * Whether this version is older than another of the same server. Sequences are compared only
+   * within one stated incarnation: without a start time they may have begun anew.
    */
   public boolean isBefore(ServerLife other) {
     if (born == 0 || other.born == 0) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerState.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** What one router knows of one server: its entry, own attempts, load, speed and failures. */
+/** What this router knows about one server: its entry, load, speed, failures and open attempts. */
 public final class ServerState {
   private static final Duration FIRST_SUSPENSION = Duration.ofMillis(250);
   private static final int MAXIMUM_DOUBLINGS = 3;
   private static final int FAILURES_TO_SUSPEND = 2;
 
-  /** A report says nothing of the load any more after this long. */
+  /** A load report has no effect after this time; until then its weight falls linearly. */
   private static final Duration REPORT_LIFE = Duration.ofMillis(400);
 
-  /** Weight of the newest sample of speed. */
+  /** Weight of the newest slowness sample. */
   private static final double SPEED_WEIGHT = 0.3;
 
-  /** A measured speed counts half after this long without samples. */
+  /** The deviation of the slowness from normal halves in this time without samples. */
   private static final Duration SPEED_HALF_LIFE = Duration.ofSeconds(4);
 
   private static final double SLOWEST = 20;
@@ -38,10 +38,10 @@
   private long suspendedUntilNanos;
 
   /**
-   * Creates what is known of a server at first.
+   * Creates the state of a server from its first entry.
    *
-   * @param lastResort how long it is still used when it is leaving and its service has no other
-   * @param sinceNanos the earliest moment at which the entry may have been written
+   * @param lastResort how long it is still used if it is leaving and its service has no other
+   * @param sinceNanos the earliest time at which the entry may have been written
    */
   ServerState(ServerEntry entry, Duration lastResort, long sinceNanos, long nowNanos) {
     this.entry = entry;
@@ -60,37 +60,41 @@
     return entry.id();
   }
 
-  /** Whether and how it may be used. */
+  /** Whether and how the server may be used. */
   public ServerStatus status() {
     return status;
   }
 
-  /** Attempts of this router that it has not answered. */
+  /** The number of this router's attempts that the server has not answered. */
   public int openAttempts() {
     return openAttempts.size();
   }
 
-  /** The newest report of its load, if any. */
+  /** The newest load report, if any. */
   public Optional<LoadReport> report() {
     return report;
   }
 
-  /** How old the newest report is; meaningless without one. */
+  /** The age of the newest load report; meaningless without one. */
   public Duration reportAge(long nowNanos) {
     return Duration.ofNanos(nowNanos - reportNanos);
   }
 
-  /** Whether failures keep it from new work while others are sound. */
+  /**
+   * Whether the server gets no new attempts, after failures, while its service has healthy servers.
+   * After the suspension it stays suspended while an attempt is open, so that one attempt at a time
+   * probes it.
+   */
   public boolean isSuspended(long nowNanos) {
     return suspended && (nowNanos < suspendedUntilNanos || openAttempts.size() > 0);
   }
 
-  /** Whether its entry says that it is ready, or has gone only a moment ago. */
+  /** Whether its entry says that it is ready, or was removed only recently. */
   boolean isThere(long nowNanos) {
     return status == ServerStatus.READY || (status == ServerStatus.GONE && isRecent(nowNanos));
   }
 
-  /** Whether it is leaving, but may be used where nothing else is left. */
+  /** Whether it is draining, but may still be used if its service has no other server. */
   boolean isLastResort(long nowNanos) {
     return status == ServerStatus.DRAINING && isRecent(nowNanos);
   }
@@ -99,22 +103,22 @@
     return nowNanos - statusSinceNanos < lastResort.toNanos();
   }
 
-  /** Whether it is still cold after a start, so that it is slow and bears little. */
+  /** Whether it is still cold after a start, so that it is slow and can take few requests. */
   public boolean isCold(long nowNanos) {
     return nowNanos < warmAtNanos;
   }
 
-  /** Notes that it may be cold for some time from now on. */
+  /** Treats the server as cold for at least this long from now. */
   void onCold(Duration length, long nowNanos) {
     warmAtNanos = Math.max(warmAtNanos, nowNanos + length.toNanos());
   }
 
-  /** For how long it has stood still beyond what is normal; 0 when it does not. */
+  /** How long it has been stalled; 0 if it is not. */
   public long stalledNanos(long nowNanos) {
     return openAttempts.stalledNanos(nowNanos);
   }
 
-  /** Requests that it is likely to hold now, of all routers. */
+  /** The estimated number of requests, from all routers, that it is running or queueing now. */
   public double load(long nowNanos) {
     if (report.isEmpty()) {
       return openAttempts.size();
@@ -124,36 +128,36 @@
     return openAttempts.size() + ofOthers;
   }
 
-  /** How much the newest report says of this moment: from 1, just come, to 0. */
+  /** The weight of the newest load report: 1 when it has just come, falling to 0. */
   private double reportFreshness(long nowNanos) {
     return Math.max(0, 1 - (double) (nowNanos - reportNanos) / REPORT_LIFE.toNanos());
   }
 
-  /** How many times as long as usual work takes there now, by its own word. */
+  /** The reported work factor, weighted by the freshness of the report. */
   private double workFactor(long nowNanos) {
     return report
         .map(latest -> 1 + (latest.workFactor() - 1) * reportFreshness(nowNanos))
         .orElse(LoadReport.USUAL);
   }
 
-  /** Whether one more attempt would run at once or be the next to run, as far as is known. */
+  /** Whether one more attempt would, by the estimated load, run at once or be next in the queue. */
   public boolean hasRoomForHedge(long nowNanos) {
     return load(nowNanos) < entry.slots() + 1;
   }
 
-  /** How many times as long as usual its answers take; 1 is normal. */
+  /** How many times as long as usual its answers take; 1 is usual. */
   public double slowness(long nowNanos) {
     return lastingSlowness(nowNanos) * workFactor(nowNanos);
   }
 
-  /** Slowness without what its machine does to it for a moment. */
+  /** The slowness without the reported work factor, which covers momentary load on its machine. */
   private double lastingSlowness(long nowNanos) {
     double halfLives = (double) (nowNanos - slownessNanos) / SPEED_HALF_LIFE.toNanos();
     double remembered = 1 + (slowness - 1) * Math.pow(0.5, halfLives);
     return isCold(nowNanos) ? Math.max(COLD_SLOWNESS, remembered) : remembered;
   }
 
-  /** Takes a newer entry of the same incarnation, written at this moment or later. */
+  /** Updates the state from a newer entry of the same incarnation, written at or after a time. */
   void onEntry(ServerEntry newer, long sinceNanos, long nowNanos) {
     entry = newer;
     warmAtNanos = nowNanos + newer.warmUpLeft().toNanos();
@@ -162,19 +166,19 @@
     }
   }
 
-  /** Notes that its entry has gone at this moment. */
+  /** Records that its entry was removed. */
   void onGone(long sinceNanos) {
     if (status == ServerStatus.READY) {
       setStatus(ServerStatus.GONE, sinceNanos);
     }
   }
 
-  /** Notes that another process has taken its name: it is gone for good. */
+  /** Records that a new incarnation has taken its name, so that it never returns. */
   void onRestarted(long nowNanos) {
     setStatus(ServerStatus.REPLACED, nowNanos);
   }
 
-  /** Notes that it says itself that it is leaving. */
+  /** Records that the server has said that it is draining. */
   void onDraining(long nowNanos) {
     if (status == ServerStatus.READY) {
       setStatus(ServerStatus.DRAINING, nowNanos);
@@ -192,9 +196,10 @@
   }
 
   /**
-   * Takes the end of an attempt.
+   * Records the end of an attempt.
    *
-   * @param relativeLatency its length as a multiple of the usual; 0 when it says nothing
+   * @param relativeLatency its length as a multiple of the usual; 0 if it shows nothing of the
+   *     speed
    */
   void onEnded(long attempt, AttemptVerdict verdict, double relativeLatency, long nowNanos) {
     openAttempts.remove(attempt);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerStatus.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerStatus.java
@@ -1,13 +1,17 @@
 package io.arrowarch.core.server;
 
-/** What the directory, or the server itself, says of a server's life. */
+/** The status of a server, from its directory entry or from its own answers. */
 public enum ServerStatus {
-  /** Takes new work. */
+  /** Takes new requests. */
   READY,
-  /** Leaves soon; takes new work only where nothing else is left, and for a short time. */
+  /**
+   * Leaves soon; gets new requests only for a short time and if its service has no other server.
+   */
   DRAINING,
-  /** Its entry has gone; as for draining. */
+  /**
+   * Its entry was removed. It is still used for a short time, as the entry may only have lapsed.
+   */
   GONE,
-  /** Another server has its address; takes nothing. */
+  /** Another server has its name or address; gets no requests. */
   REPLACED
 }
