--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/AttemptSender.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/AttemptSender.java
@@ -117,7 +117,7 @@
     long nowNanos = clock.nanoTime();
     int share = connectionShare.applyAsInt(part.service());
     List<ServerState> withRoom = new ArrayList<>();
-    for (ServerState server : directory.there(part.service(), nowNanos)) {
+    for (ServerState server : directory.available(part.service(), nowNanos)) {
       boolean usable =
           part.mayAskAgain(server)
               && options.allows(part.regions(), server.entry().zone())
@@ -300,7 +300,7 @@
     if (reply.notRun()) {
       return AttemptVerdict.SHED;
     }
-    return reply.isServerFailure() ? AttemptVerdict.FAILED : AttemptVerdict.SOUND;
+    return reply.isServerFailure() ? AttemptVerdict.FAILED : AttemptVerdict.ANSWERED;
   }
 
   private static AttemptVerdict verdictOf(ServerFailure failure) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ConnectionShares.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ConnectionShares.java
@@ -43,9 +43,9 @@
   /** Attempts that this router may have open at one server of a service. */
   int share(String service) {
     OptionalInt gathering =
-        layout.isGathered(service) ? gatherers.sharing(service) : OptionalInt.empty();
+        layout.isGathered(service) ? gatherers.primaryCount(service) : OptionalInt.empty();
     int sharers = gathering.orElse(Math.max(1, routers.getAsInt()));
-    double share = layout.used(service) / sharers;
+    double share = layout.usedConnections(service) / sharers;
     if (young.getAsBoolean()) {
       share /= YOUNG_DIVISOR;
     }
@@ -59,7 +59,7 @@
    */
   double coldServerPart(String service) {
     OptionalInt gathering =
-        layout.isGathered(service) ? gatherers.sharing(service) : OptionalInt.empty();
+        layout.isGathered(service) ? gatherers.primaryCount(service) : OptionalInt.empty();
     int sharers =
         gathering.isPresent()
             ? gathering.getAsInt() + UNSEEN_GATHERERS
@@ -75,8 +75,8 @@
     if (!layout.isGathered(service)) {
       return 1.0 / Math.max(1, routers.getAsInt());
     }
-    return gatherers.sharing(service).stream()
-        .mapToDouble(sharing -> 1.0 / (sharing + UNSEEN_GATHERERS))
+    return gatherers.primaryCount(service).stream()
+        .mapToDouble(primaryCount -> 1.0 / (primaryCount + UNSEEN_GATHERERS))
         .findFirst()
         .orElse(0);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateChooser.java
@@ -22,7 +22,7 @@
    * The delegation overhead must be below this fraction of the objective. The limit can be this
    * high because running all parts of a wide search on a small machine takes longer still.
    */
-  private static final double LONGEST_WAY = 0.5;
+  private static final double MAXIMUM_OVERHEAD_FRACTION = 0.5;
 
   /** A delegate that has held a search for this many times the objective counts as stalled. */
   private static final double STALL_OBJECTIVES = 1.25;
@@ -61,7 +61,7 @@
     if (!layout.isGathered(shards.get(0))) {
       return ImmutableList.of();
     }
-    forgetLeft();
+    forgetDepartedRouters();
     ImmutableList.Builder<Choice> choices = ImmutableList.builder();
     for (ImmutableList<String> group : SearchLayout.groups(shards)) {
       delegate(group, route, nowNanos)
@@ -70,25 +70,25 @@
     return choices.build();
   }
 
-  private void forgetLeft() {
+  private void forgetDepartedRouters() {
     ImmutableList<NearbyRouter> now = routers.nearby();
     if (!now.equals(known)) {
       known = now;
-      Set<NearbyRouter> left = new HashSet<>(now);
-      states.keySet().removeIf(router -> !left.contains(router));
+      Set<NearbyRouter> present = new HashSet<>(now);
+      states.keySet().removeIf(router -> !present.contains(router));
     }
   }
 
   private Optional<NearbyRouter> delegate(ImmutableList<String> group, Route route, long nowNanos) {
     Gatherers.Choice choice = gatherers.of(group);
-    if (choice.ownRole() == Gatherers.OwnRole.FIRST) {
+    if (choice.ownRole() == Gatherers.OwnRole.PRIMARY) {
       return Optional.empty();
     }
-    Optional<NearbyRouter> first = leastLoaded(choice.first(), route, nowNanos);
-    if (first.isPresent() || choice.ownRole() == Gatherers.OwnRole.RESERVE) {
-      return first;
+    Optional<NearbyRouter> primary = leastLoaded(choice.primary(), route, nowNanos);
+    if (primary.isPresent() || choice.ownRole() == Gatherers.OwnRole.BACKUP) {
+      return primary;
     }
-    return leastLoaded(choice.reserve(), route, nowNanos);
+    return leastLoaded(choice.backup(), route, nowNanos);
   }
 
   private Optional<NearbyRouter> leastLoaded(
@@ -111,6 +111,6 @@
     long objectiveNanos = objective.toNanos();
     return !state.isSuspended(nowNanos)
         && state.oldestOpenNanos(nowNanos) < STALL_OBJECTIVES * objectiveNanos
-        && state.wayNanos(nowNanos) < LONGEST_WAY * objectiveNanos;
+        && state.estimatedOverheadNanos(nowNanos) < MAXIMUM_OVERHEAD_FRACTION * objectiveNanos;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateState.java
@@ -20,7 +20,7 @@
    * The overhead estimate halves in this time without an answer, so that a slow delegate is tried
    * again.
    */
-  private static final Duration WAY_HALF_LIFE = Duration.ofSeconds(5);
+  private static final Duration OVERHEAD_HALF_LIFE = Duration.ofSeconds(5);
 
   private final Map<Long, Long> openSince = new LinkedHashMap<>();
   private long suspendedUntilNanos = Long.MIN_VALUE;
@@ -42,18 +42,19 @@
   /**
    * Records an answer.
    *
-   * @param way nanoseconds from sending to answer, without the delegate's own processing time
+   * @param overheadNanos nanoseconds from sending to answer, without the delegate's own processing
+   *     time
    * @param inProgress number of requests in progress at the delegate
    */
-  void onAnswered(long way, int inProgress, long nowNanos) {
+  void onAnswered(long overheadNanos, int inProgress, long nowNanos) {
     suspensions = 0;
     reportedInProgress = inProgress;
     if (measured) {
-      deviationNanos += DEVIATION_WEIGHT * (Math.abs(way - meanNanos) - deviationNanos);
-      meanNanos += MEAN_WEIGHT * (way - meanNanos);
+      deviationNanos += DEVIATION_WEIGHT * (Math.abs(overheadNanos - meanNanos) - deviationNanos);
+      meanNanos += MEAN_WEIGHT * (overheadNanos - meanNanos);
     } else {
-      meanNanos = way;
-      deviationNanos = way / 2.0;
+      meanNanos = overheadNanos;
+      deviationNanos = overheadNanos / 2.0;
     }
     measured = true;
     measuredNanos = nowNanos;
@@ -78,8 +79,8 @@
   }
 
   /** An upper estimate of the delegation overhead; 0 before the first answer. */
-  double wayNanos(long nowNanos) {
-    double halfLives = (double) (nowNanos - measuredNanos) / WAY_HALF_LIFE.toNanos();
+  double estimatedOverheadNanos(long nowNanos) {
+    double halfLives = (double) (nowNanos - measuredNanos) / OVERHEAD_HALF_LIFE.toNanos();
     return (meanNanos + DEVIATIONS * deviationNanos) * Math.pow(0.5, halfLives);
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/HandedParts.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegatedParts.java
@@ -6,28 +6,28 @@
 import java.util.Set;
 
 /** The parts of one search that are delegated to other routers, and their answers. */
-final class HandedParts implements Delegator.Listener {
+final class DelegatedParts implements Delegator.Listener {
   /**
    * The most rounds of delegation for one search: the first one, then one after each decline. Parts
    * that are declined after the last round are run here.
    */
-  private static final int DELEGATES_TO_ASK = 3;
+  private static final int MAXIMUM_ROUNDS = 3;
 
   private final ForwardExecution execution;
   private final List<PartProgress> parts;
-  private final List<Delegator.Handed> groups = new ArrayList<>();
+  private final List<Delegator.DelegatedGroup> groups = new ArrayList<>();
   private final List<ForwardedAnswer.Merged> answers = new ArrayList<>();
-  private int asked;
+  private int rounds;
 
-  HandedParts(ForwardExecution execution, List<PartProgress> parts) {
+  DelegatedParts(ForwardExecution execution, List<PartProgress> parts) {
     this.execution = execution;
     this.parts = parts;
   }
 
   /** Delegates the groups of the search that the delegator chooses. */
-  void handOn(Delegator delegator, Delegator.Search search) {
-    asked++;
-    for (Delegator.Handed group : delegator.handOn(search, this)) {
+  void delegate(Delegator delegator, Delegator.Search search) {
+    rounds++;
+    for (Delegator.DelegatedGroup group : delegator.delegate(search, this)) {
       groups.add(group);
       partsOf(group).forEach(PartProgress::onHandedOn);
     }
@@ -40,11 +40,11 @@
 
   /** Cancels the search on the other routers. */
   void cancel() {
-    groups.forEach(Delegator.Handed::cancel);
+    groups.forEach(Delegator.DelegatedGroup::cancel);
   }
 
   @Override
-  public void onAnswered(Delegator.Handed group, ForwardedAnswer.Merged answer) {
+  public void onAnswered(Delegator.DelegatedGroup group, ForwardedAnswer.Merged answer) {
     if (execution.isFinished()) {
       return;
     }
@@ -58,21 +58,21 @@
   }
 
   @Override
-  public void onDeclined(Delegator.Handed group) {
+  public void onDeclined(Delegator.DelegatedGroup group) {
     if (execution.isFinished()) {
       return;
     }
     List<PartProgress> back = partsOf(group);
     groups.remove(group);
     back.forEach(PartProgress::onTakenBack);
-    if (asked < DELEGATES_TO_ASK) {
-      execution.handOn(group.shards());
+    if (rounds < MAXIMUM_ROUNDS) {
+      execution.delegate(group.shards());
     }
     execution.startFirst(back.stream().filter(part -> !part.isHandedOn()).toList());
   }
 
   @Override
-  public void onLost(Delegator.Handed group) {
+  public void onLost(Delegator.DelegatedGroup group) {
     if (execution.isFinished()) {
       return;
     }
@@ -81,7 +81,7 @@
     execution.onPartsEnded(0, lost.size());
   }
 
-  private List<PartProgress> partsOf(Delegator.Handed group) {
+  private List<PartProgress> partsOf(Delegator.DelegatedGroup group) {
     Set<String> shards = new HashSet<>(group.shards());
     return parts.stream().filter(part -> shards.contains(part.service())).toList();
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegatedSearches.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegatedSearchHandler.java
@@ -19,7 +19,7 @@
 /**
  * Runs or declines searches that other routers delegate to this one; never delegates them again.
  */
-final class DelegatedSearches {
+final class DelegatedSearchHandler {
   private final Supplier<Optional<RoutingConfiguration>> configuration;
   private final TenantAdmission tenants;
   private final SuspectRequests suspects;
@@ -46,7 +46,7 @@
    * @param inProgress number of requests in progress on this router
    * @param maximumRequests number of requests in progress from which on searches are declined
    */
-  DelegatedSearches(
+  DelegatedSearchHandler(
       Supplier<Optional<RoutingConfiguration>> configuration,
       TenantAdmission tenants,
       SuspectRequests suspects,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Delegator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Delegator.java
@@ -26,17 +26,17 @@
   /** Notified once of the end of each delegated group, unless the group is cancelled. */
   interface Listener {
     /** The other router has answered; some parts may be missing from the answer. */
-    void onAnswered(Handed handed, ForwardedAnswer.Merged answer);
+    void onAnswered(DelegatedGroup handed, ForwardedAnswer.Merged answer);
 
     /** The other router has run none of the parts and never will. */
-    void onDeclined(Handed handed);
+    void onDeclined(DelegatedGroup handed);
 
     /** The parts may have run, and no answer will come. */
-    void onLost(Handed handed);
+    void onLost(DelegatedGroup handed);
   }
 
   /** Parts of a search that are delegated to one router. */
-  interface Handed {
+  interface DelegatedGroup {
     /** The shards of the group. */
     ImmutableList<String> shards();
 
@@ -50,5 +50,5 @@
    * @param listener notified after this method has returned
    * @return the delegated groups; this router runs all other parts
    */
-  ImmutableList<Handed> handOn(Search search, Listener listener);
+  ImmutableList<DelegatedGroup> delegate(Search search, Listener listener);
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
@@ -58,7 +58,7 @@
   private final TimerLateness lateness = new TimerLateness();
   private final TenantLimiter limiter;
   private final TenantAdmission tenants;
-  private final DelegatedSearches delegatedSearches;
+  private final DelegatedSearchHandler delegatedSearchHandler;
   private final SuspectRequests suspects;
   private final CrashGuard crashGuard;
   private final long startNanos;
@@ -129,8 +129,8 @@
             random,
             events);
     this.crashGuard = new CrashGuard(suspects, this::hasServer, clock, random, refusals);
-    this.delegatedSearches =
-        new DelegatedSearches(
+    this.delegatedSearchHandler =
+        new DelegatedSearchHandler(
             this::configuration,
             tenants,
             suspects,
@@ -239,12 +239,12 @@
   public SearchRole searchRole() {
     ImmutableSet<ImmutableList<String>> gathered = layout.gatheredGroups();
     if (gathered.isEmpty()) {
-      return SearchRole.ALONE;
+      return SearchRole.DIRECT;
     }
     boolean gathers =
         gathered.stream()
             .anyMatch(group -> gatherers.of(group).ownRole() != Gatherers.OwnRole.NONE);
-    return gathers ? SearchRole.GATHERS : SearchRole.HANDS_ON;
+    return gathers ? SearchRole.GATHERER : SearchRole.DELEGATING;
   }
 
   /** Attempts that this router may have open at one server of a service. */
@@ -421,7 +421,7 @@
    * @param sink told once, unless the search is cancelled; perhaps before this method returns
    */
   public ForwardHandle submitDelegated(DelegatedSearch search, Consumer<DelegateReply> sink) {
-    return delegatedSearches.submit(search, sink);
+    return delegatedSearchHandler.submit(search, sink);
   }
 
   /** Takes another router's reply about parts that were handed to it. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardExecution.java
@@ -40,7 +40,7 @@
   private final RequestLog log;
   private final Consumer<Either<QueryError, ForwardedAnswer>> sink;
   private final Hedging hedging;
-  private final HandedParts handedParts;
+  private final DelegatedParts delegatedParts;
   private final List<TimerQueue.Timer> ownTimers = new ArrayList<>();
   private Runnable onEnd = () -> {};
   private boolean started;
@@ -80,7 +80,7 @@
     this.timers = timers;
     this.log = new RequestLog(request, route, version, times, watch, clock, events);
     this.sink = sink;
-    this.handedParts = new HandedParts(this, parts);
+    this.delegatedParts = new DelegatedParts(this, parts);
     this.hedging =
         new Hedging(this, route, routeState, times.objectiveNanos(), parts, sender, clock, timers);
   }
@@ -157,7 +157,7 @@
   void start() {
     started = true;
     if (route.target() instanceof RouteTarget.AllShards search) {
-      handOn(search.services());
+      delegate(search.services());
     }
     List<PartProgress> own = parts.stream().filter(part -> !part.isHandedOn()).toList();
     // A router that gathers may know servers that this one does not.
@@ -189,11 +189,11 @@
   }
 
   /** Hands parts to other routers where that is of use. */
-  void handOn(ImmutableList<String> shards) {
+  void delegate(ImmutableList<String> shards) {
     if (!mayRun()) {
       return;
     }
-    handedParts.handOn(
+    delegatedParts.delegate(
         delegator,
         new Delegator.Search(request, route, version, times, shards, watch.isAnswered()));
   }
@@ -244,7 +244,7 @@
     }
     finish("cancelled", "", "the caller has gone");
     parts.forEach(sender::cancelAll);
-    handedParts.cancel();
+    delegatedParts.cancel();
     onEnd.run();
   }
 
@@ -394,7 +394,7 @@
 
   private ForwardedAnswer merged() {
     int limit = ((RouteTarget.AllShards) route.target()).limit();
-    return PartMerger.merge(parts, handedParts.answers(), tally.missing(), limit);
+    return PartMerger.merge(parts, delegatedParts.answers(), tally.missing(), limit);
   }
 
   private void finishHopeless() {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
@@ -28,15 +28,15 @@
    * is missing updates from the store and leaves the gathering to any other router, which may know
    * more.
    */
-  private static final double LEAST_KNOWN = 0.5;
+  private static final double MINIMUM_KNOWN_SHARE = 0.5;
 
   /**
    * A machine with at least this fraction of the cores of the largest may be a primary gatherer.
    */
-  private static final double NEARLY_LARGEST = 0.6;
+  private static final double PRIMARY_CORES_FRACTION = 0.6;
 
   /** How long a choice is cached; members and servers change slowly. */
-  private static final Duration LIFE = Duration.ofMillis(200);
+  private static final Duration CACHE_LIFETIME = Duration.ofMillis(200);
 
   private final ForwardOptions options;
   private final RouterGroup routers;
@@ -49,23 +49,23 @@
   /**
    * The gatherers that this router would use for a group of shards.
    *
-   * @param first primary gatherers, without this router
-   * @param reserve backup gatherers, for when no primary one is available
+   * @param primary the primary gatherers, without this router
+   * @param backup the backup gatherers, for when no primary one is available
    * @param ownRole whether this router is a gatherer of the group itself
-   * @param sharing number of primary gatherers in all zones, at least 1
+   * @param primaryCount number of primary gatherers in all zones, at least 1
    */
   record Choice(
-      ImmutableList<NearbyRouter> first,
-      ImmutableList<NearbyRouter> reserve,
+      ImmutableList<NearbyRouter> primary,
+      ImmutableList<NearbyRouter> backup,
       OwnRole ownRole,
-      int sharing) {}
+      int primaryCount) {}
 
   /** The role of this router for a group of shards. */
   enum OwnRole {
     /** Gathers the group for itself and for other routers. */
-    FIRST,
+    PRIMARY,
     /** Gathers the group when no primary gatherer is available. */
-    RESERVE,
+    BACKUP,
     /** Delegates the group. */
     NONE
   }
@@ -87,17 +87,17 @@
    * The number of routers that share the servers of a shard; empty unless this router is a primary
    * gatherer of it.
    */
-  OptionalInt sharing(String shard) {
+  OptionalInt primaryCount(String shard) {
     Choice choice = of(layout.groupOf(shard));
-    return choice.ownRole() == OwnRole.FIRST
-        ? OptionalInt.of(choice.sharing())
+    return choice.ownRole() == OwnRole.PRIMARY
+        ? OptionalInt.of(choice.primaryCount())
         : OptionalInt.empty();
   }
 
   /** The gatherers of a group of shards. */
   Choice of(ImmutableList<String> group) {
     long nowNanos = clock.nanoTime();
-    if (nowNanos - chosenNanos > LIFE.toNanos()) {
+    if (nowNanos - chosenNanos > CACHE_LIFETIME.toNanos()) {
       choices.clear();
       chosenNanos = nowNanos;
     }
@@ -106,34 +106,39 @@
 
   private Choice choose(ImmutableList<String> group, long nowNanos) {
     Map<String, List<NearbyRouter>> byZone = routersByZone();
-    boolean blind = coverage.known(group, nowNanos) < LEAST_KNOWN;
+    boolean knowsTooFewShards = coverage.known(group, nowNanos) < MINIMUM_KNOWN_SHARE;
     List<String> zones =
-        blind ? ImmutableList.copyOf(byZone.keySet()) : zonesNearServers(group, byZone, nowNanos);
+        knowsTooFewShards
+            ? ImmutableList.copyOf(byZone.keySet())
+            : zonesNearServers(group, byZone, nowNanos);
     double largest = largest(zones, byZone);
     int allowed = Math.max(1, layout.gatherersAllowed(group.get(0)) / zones.size());
-    boolean near = !blind && zones.contains(options.zone());
-    List<NearbyRouter> first = new ArrayList<>();
-    List<NearbyRouter> reserve = new ArrayList<>();
+    boolean near = !knowsTooFewShards && zones.contains(options.zone());
+    List<NearbyRouter> primary = new ArrayList<>();
+    List<NearbyRouter> backup = new ArrayList<>();
     OwnRole ownRole = OwnRole.NONE;
-    int sharing = 0;
+    int primaryCount = 0;
     for (String zone : zones) {
       ImmutableList<NearbyRouter> ranked = ShardGroups.ranked(group, byZone.get(zone));
       boolean usedFromHere = !near || zone.equals(options.zone());
       for (NearbyRouter router : ranked.subList(0, Math.min(allowed, ranked.size()))) {
-        boolean isFirst = router.cores() >= NEARLY_LARGEST * largest;
-        sharing += isFirst ? 1 : 0;
+        boolean isPrimary = router.cores() >= PRIMARY_CORES_FRACTION * largest;
+        primaryCount += isPrimary ? 1 : 0;
         if (router.id().equals(options.id())) {
-          ownRole = isFirst ? OwnRole.FIRST : OwnRole.RESERVE;
+          ownRole = isPrimary ? OwnRole.PRIMARY : OwnRole.BACKUP;
         } else if (usedFromHere) {
-          (isFirst ? first : reserve).add(router);
+          (isPrimary ? primary : backup).add(router);
         }
       }
     }
-    if (blind && !first.isEmpty()) {
+    if (knowsTooFewShards && !primary.isEmpty()) {
       ownRole = OwnRole.NONE;
     }
     return new Choice(
-        ImmutableList.copyOf(first), ImmutableList.copyOf(reserve), ownRole, Math.max(1, sharing));
+        ImmutableList.copyOf(primary),
+        ImmutableList.copyOf(backup),
+        ownRole,
+        Math.max(1, primaryCount));
   }
 
   private Map<String, List<NearbyRouter>> routersByZone() {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
@@ -28,7 +28,7 @@
   private final DelegateChooser chooser;
   private final DelegateTransport transport;
   private final EventLog events;
-  private final WayEstimate way = new WayEstimate();
+  private final WayEstimate overhead = new WayEstimate();
   private final Map<Long, Group> groups = new HashMap<>();
   private long nextNumber = 1;
 
@@ -46,7 +46,7 @@
   }
 
   @Override
-  public ImmutableList<Handed> handOn(Search search, Listener listener) {
+  public ImmutableList<DelegatedGroup> delegate(Search search, Listener listener) {
     ImmutableList<DelegateChooser.Choice> choices =
         chooser.choose(search.shards(), search.route(), clock.nanoTime());
     return choices.stream()
@@ -54,7 +54,7 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  private Handed send(Search search, DelegateChooser.Choice choice, Listener listener) {
+  private DelegatedGroup send(Search search, DelegateChooser.Choice choice, Listener listener) {
     long nowNanos = clock.nanoTime();
     long number = nextNumber++;
     DelegateState state = chooser.state(choice.delegate());
@@ -67,7 +67,7 @@
     groups.put(number, group);
     state.onSent(number, nowNanos);
     // The delegate gets less time, so that its answer arrives before the deadline here.
-    long kept = way.nanos(search.route().objective());
+    long reservedNanos = overhead.nanos(search.route().objective());
     transport.send(
         number,
         choice.delegate(),
@@ -75,8 +75,8 @@
             search.request(),
             search.version(),
             partsOf(search, choice),
-            Duration.ofNanos(Math.max(1, times.giveUpNanos() - nowNanos - kept)),
-            Duration.ofNanos(times.objectiveNanos() - nowNanos - kept),
+            Duration.ofNanos(Math.max(1, times.giveUpNanos() - nowNanos - reservedNanos)),
+            Duration.ofNanos(times.objectiveNanos() - nowNanos - reservedNanos),
             search.isProven()));
     return group;
   }
@@ -97,9 +97,9 @@
     group.end();
     long nowNanos = clock.nanoTime();
     if (reply instanceof DelegateReply.Answered answered) {
-      long cost = Math.max(0, nowNanos - group.startNanos - answered.took().toNanos());
-      way.record(cost);
-      group.state.onAnswered(cost, answered.inProgress(), nowNanos);
+      long overheadNanos = Math.max(0, nowNanos - group.startNanos - answered.took().toNanos());
+      overhead.record(overheadNanos);
+      group.state.onAnswered(overheadNanos, answered.inProgress(), nowNanos);
       log(group, "answered", "", answered.answer().missingParts());
       group.listener.onAnswered(group, answered.answer());
     } else if (reply instanceof DelegateReply.Declined declined) {
@@ -143,7 +143,7 @@
   }
 
   /** A group of parts that a delegate is running. */
-  private final class Group implements Handed {
+  private final class Group implements DelegatedGroup {
     private final long number;
     private final Search search;
     private final DelegateChooser.Choice choice;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchLayout.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchLayout.java
@@ -28,16 +28,16 @@
    * Connections that a router needs at one server. With fewer it often waits for a free one or uses
    * another server.
    */
-  private static final int WANTED_CONNECTIONS = 2;
+  private static final int CONNECTIONS_PER_ROUTER = 2;
 
   /** Gathering must survive the loss of a router. */
-  private static final int FEWEST_GATHERERS = 2;
+  private static final int MINIMUM_GATHERERS = 2;
 
   /**
    * The most parts of one search that one router gathers. A part takes 0.1 ms of its time once its
    * code is compiled, so that this many take a quarter of the tightest objective.
    */
-  private static final int WIDEST_GROUP = 150;
+  private static final int MAXIMUM_GROUP_SIZE = 150;
 
   private final IntSupplier routers;
   private final boolean mayGather;
@@ -72,7 +72,7 @@
 
   /** Splits the shards of a search into groups that one router can gather. */
   static ImmutableList<ImmutableList<String>> groups(ImmutableList<String> shards) {
-    int count = (shards.size() + WIDEST_GROUP - 1) / WIDEST_GROUP;
+    int count = (shards.size() + MAXIMUM_GROUP_SIZE - 1) / MAXIMUM_GROUP_SIZE;
     return ShardGroups.split(shards, count);
   }
 
@@ -85,7 +85,7 @@
   boolean isGathered(String service) {
     return mayGather
         && groupOfShard.containsKey(service)
-        && Math.round(WANTED_CONNECTIONS * routers.getAsInt() / used(service)) > 1;
+        && Math.round(CONNECTIONS_PER_ROUTER * routers.getAsInt() / usedConnections(service)) > 1;
   }
 
   /** The groups of shards that some routers gather for the others. */
@@ -97,11 +97,11 @@
 
   /** The number of routers that can gather a shard within its servers' connections; at least 2. */
   int gatherersAllowed(String shard) {
-    return Math.max(FEWEST_GATHERERS, (int) (used(shard) / WANTED_CONNECTIONS));
+    return Math.max(MINIMUM_GATHERERS, (int) (usedConnections(shard) / CONNECTIONS_PER_ROUTER));
   }
 
   /** Connections that all routers together use at one server of a service; at least 1. */
-  double used(String service) {
+  double usedConnections(String service) {
     return Math.max(1, USED_FRACTION * connections.getOrDefault(service, DEFAULT_CONNECTIONS));
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ZoneCoverage.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ZoneCoverage.java
@@ -11,7 +11,7 @@
 
 /** The zones in which the shards of searches have usable servers, cached for a short time. */
 final class ZoneCoverage {
-  private static final Duration LIFE = Duration.ofMillis(200);
+  private static final Duration CACHE_LIFETIME = Duration.ofMillis(200);
 
   private final ServerDirectory directory;
   private final Map<String, Set<String>> zonesByShard = new HashMap<>();
@@ -44,7 +44,7 @@
   }
 
   private Set<String> zonesOf(String shard, long nowNanos) {
-    if (nowNanos - countedNanos > LIFE.toNanos()) {
+    if (nowNanos - countedNanos > CACHE_LIFETIME.toNanos()) {
       zonesByShard.clear();
       countedNanos = nowNanos;
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/AttemptVerdict.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/AttemptVerdict.java
@@ -3,7 +3,7 @@
 /** What an ended attempt says about its server. */
 public enum AttemptVerdict {
   /** The server answered. */
-  SOUND,
+  ANSWERED,
   /** The server shed the request because it is full. */
   SHED,
   /** The connection broke, the answer was malformed, or none came in time. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/LoadReport.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/LoadReport.java
@@ -10,5 +10,5 @@
  */
 public record LoadReport(int running, int waiting, int slots, double workFactor) {
   /** The work factor of a server that reports none. */
-  public static final double USUAL = 1;
+  public static final double USUAL_WORK_FACTOR = 1;
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerChooser.java
@@ -10,10 +10,10 @@
    * Cost of each request at a server, as a fraction of the expected length. Slightly favours the
    * less loaded of two servers with free slots.
    */
-  private static final double COST_OF_LOAD = 0.15;
+  private static final double LOAD_COST_FRACTION = 0.15;
 
   /** Range of the random cost, as a fraction of the expected length; spreads load over equals. */
-  private static final double RANDOM_PART = 0.1;
+  private static final double RANDOM_COST_FRACTION = 0.1;
 
   private final String zone;
   private final RandomGenerator random;
@@ -54,7 +54,8 @@
     // A stalled server is likely to stay stalled for as long again.
     long stalled = server.stalledNanos(nowNanos);
     double stallCost = stalled == 0 ? 0 : 2.0 * expectedNanos + stalled;
-    double even = expectedNanos * (COST_OF_LOAD * load + RANDOM_PART * random.nextDouble());
-    return work * (1 + waiting) + stallCost + even;
+    double tieBreak =
+        expectedNanos * (LOAD_COST_FRACTION * load + RANDOM_COST_FRACTION * random.nextDouble());
+    return work * (1 + waiting) + stallCost + tieBreak;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerDirectory.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerDirectory.java
@@ -22,7 +22,7 @@
    * How long a server is remembered after its last status change if it is not ready; longer while
    * an attempt is open.
    */
-  private static final Duration MEMORY = Duration.ofSeconds(10);
+  private static final Duration RETENTION = Duration.ofSeconds(10);
 
   private final Duration lastResort;
   private final Map<String, ServerState> servers = new HashMap<>();
@@ -72,7 +72,7 @@
    * @param sinceNanos the time from which its absence is counted
    */
   public boolean onGone(String id, long sinceNanos, long nowNanos) {
-    forgetOld(nowNanos);
+    removeExpired(nowNanos);
     ServerState known = servers.get(id);
     if (known == null) {
       return false;
@@ -167,7 +167,7 @@
       if (evacuatedZones.contains(server.entry().zone())) {
         continue;
       }
-      if (server.isThere(nowNanos)) {
+      if (server.isAvailable(nowNanos)) {
         (server.isSuspended(nowNanos) ? suspended : sound).add(server);
       } else if (server.isLastResort(nowNanos)) {
         lastResort.add(server);
@@ -180,22 +180,22 @@
   }
 
   /** The available servers of a service, suspended ones included. */
-  public List<ServerState> there(String service, long nowNanos) {
-    List<ServerState> there = new ArrayList<>();
+  public List<ServerState> available(String service, long nowNanos) {
+    List<ServerState> available = new ArrayList<>();
     for (ServerState server : byService.get(service)) {
-      if (!evacuatedZones.contains(server.entry().zone()) && server.isThere(nowNanos)) {
-        there.add(server);
+      if (!evacuatedZones.contains(server.entry().zone()) && server.isAvailable(nowNanos)) {
+        available.add(server);
       }
     }
-    return there;
+    return available;
   }
 
-  private void forgetOld(long nowNanos) {
+  private void removeExpired(long nowNanos) {
     ImmutableList<ServerState> old =
         servers.values().stream()
             .filter(server -> server.status() != ServerStatus.READY)
             .filter(server -> server.openAttempts() == 0)
-            .filter(server -> nowNanos - server.statusSinceNanos() > MEMORY.toNanos())
+            .filter(server -> nowNanos - server.statusSinceNanos() > RETENTION.toNanos())
             .sorted(Comparator.comparing(ServerState::id))
             .collect(ImmutableList.toImmutableList());
     for (ServerState server : old) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerEntries.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerEntries.java
@@ -12,37 +12,37 @@
  */
 public final class ServerEntries {
   /** Maximum number of keys without an entry whose last version is kept. */
-  private static final int REMEMBERED = 4_096;
+  private static final int MAXIMUM_REMOVED_VERSIONS = 4_096;
 
-  private final Map<String, ServerEntry> held = new HashMap<>();
-  private final Map<String, ServerLife> gone = new LinkedHashMap<>();
+  private final Map<String, ServerEntry> current = new HashMap<>();
+  private final Map<String, EntryVersion> removedVersions = new LinkedHashMap<>();
 
   /** Whether an entry is older than the last known entry of its key. */
   public boolean isStale(String key, ServerEntry entry) {
-    ServerLife known =
-        Optional.ofNullable(held.get(key))
-            .map(ServerEntry::life)
-            .orElseGet(() -> gone.getOrDefault(key, ServerLife.UNSTATED));
-    return entry.life().isBefore(known);
+    EntryVersion known =
+        Optional.ofNullable(current.get(key))
+            .map(ServerEntry::version)
+            .orElseGet(() -> removedVersions.getOrDefault(key, EntryVersion.UNSTATED));
+    return entry.version().isBefore(known);
   }
 
   /** Stores an entry; returns the one that it replaces, if any. */
   public Optional<ServerEntry> put(String key, ServerEntry entry) {
-    gone.remove(key);
-    return Optional.ofNullable(held.put(key, entry));
+    removedVersions.remove(key);
+    return Optional.ofNullable(current.put(key, entry));
   }
 
   /** Removes the entry of a key, keeping its version; returns the entry, if any. */
   public Optional<ServerEntry> remove(String key) {
-    Optional<ServerEntry> removed = Optional.ofNullable(held.remove(key));
-    removed.ifPresent(entry -> remember(key, entry.life()));
+    Optional<ServerEntry> removed = Optional.ofNullable(current.remove(key));
+    removed.ifPresent(entry -> remember(key, entry.version()));
     return removed;
   }
 
-  private void remember(String key, ServerLife life) {
-    gone.put(key, life);
-    if (gone.size() > REMEMBERED) {
-      gone.remove(gone.keySet().iterator().next());
+  private void remember(String key, EntryVersion version) {
+    removedVersions.put(key, version);
+    if (removedVersions.size() > MAXIMUM_REMOVED_VERSIONS) {
+      removedVersions.remove(removedVersions.keySet().iterator().next());
     }
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerEntry.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerEntry.java
@@ -13,7 +13,7 @@
  * @param address IP:PORT; may be reused by other servers after this one has ended
  * @param slots number of requests that it can run at once
  * @param warmUpLeft how much longer it is slow after its start
- * @param life version of this entry, by the server's own count
+ * @param version version of this entry, by the server's own count
  */
 public record ServerEntry(
     String id,
@@ -24,8 +24,7 @@
     int slots,
     boolean draining,
     Duration warmUpLeft,
-    ServerLife life) {
-
+    EntryVersion version) {
   public ServerEntry {
     requireNonNull(id, "id is null");
     requireNonNull(name, "name is null");
@@ -33,7 +32,7 @@
     requireNonNull(address, "address is null");
     requireNonNull(zone, "zone is null");
     requireNonNull(warmUpLeft, "warmUpLeft is null");
-    requireNonNull(life, "life is null");
+    requireNonNull(version, "version is null");
   }
 
   /** The entry of a server that states no start time and never restarts under its id. */
@@ -45,6 +44,6 @@
       int slots,
       boolean draining,
       Duration warmUpLeft) {
-    this(id, id, service, address, zone, slots, draining, warmUpLeft, ServerLife.UNSTATED);
+    this(id, id, service, address, zone, slots, draining, warmUpLeft, EntryVersion.UNSTATED);
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerState.java
@@ -10,15 +10,15 @@
   private static final int FAILURES_TO_SUSPEND = 2;
 
   /** A load report has no effect after this time; until then its weight falls linearly. */
-  private static final Duration REPORT_LIFE = Duration.ofMillis(400);
+  private static final Duration REPORT_LIFETIME = Duration.ofMillis(400);
 
   /** Weight of the newest slowness sample. */
-  private static final double SPEED_WEIGHT = 0.3;
+  private static final double SLOWNESS_SAMPLE_WEIGHT = 0.3;
 
   /** The deviation of the slowness from normal halves in this time without samples. */
-  private static final Duration SPEED_HALF_LIFE = Duration.ofSeconds(4);
+  private static final Duration SLOWNESS_HALF_LIFE = Duration.ofSeconds(4);
 
-  private static final double SLOWEST = 20;
+  private static final double MAXIMUM_SLOWNESS = 20;
   private static final double COLD_SLOWNESS = 1.6;
 
   private final Duration lastResort;
@@ -90,7 +90,7 @@
   }
 
   /** Whether its entry says that it is ready, or was removed only recently. */
-  boolean isThere(long nowNanos) {
+  boolean isAvailable(long nowNanos) {
     return status == ServerStatus.READY || (status == ServerStatus.GONE && isRecent(nowNanos));
   }
 
@@ -130,14 +130,14 @@
 
   /** The weight of the newest load report: 1 when it has just come, falling to 0. */
   private double reportFreshness(long nowNanos) {
-    return Math.max(0, 1 - (double) (nowNanos - reportNanos) / REPORT_LIFE.toNanos());
+    return Math.max(0, 1 - (double) (nowNanos - reportNanos) / REPORT_LIFETIME.toNanos());
   }
 
   /** The reported work factor, weighted by the freshness of the report. */
   private double workFactor(long nowNanos) {
     return report
         .map(latest -> 1 + (latest.workFactor() - 1) * reportFreshness(nowNanos))
-        .orElse(LoadReport.USUAL);
+        .orElse(LoadReport.USUAL_WORK_FACTOR);
   }
 
   /** Whether one more attempt would, by the estimated load, run at once or be next in the queue. */
@@ -152,7 +152,7 @@
 
   /** The slowness without the reported work factor, which covers momentary load on its machine. */
   private double lastingSlowness(long nowNanos) {
-    double halfLives = (double) (nowNanos - slownessNanos) / SPEED_HALF_LIFE.toNanos();
+    double halfLives = (double) (nowNanos - slownessNanos) / SLOWNESS_HALF_LIFE.toNanos();
     double remembered = 1 + (slowness - 1) * Math.pow(0.5, halfLives);
     return isCold(nowNanos) ? Math.max(COLD_SLOWNESS, remembered) : remembered;
   }
@@ -204,7 +204,7 @@
   void onEnded(long attempt, AttemptVerdict verdict, double relativeLatency, long nowNanos) {
     openAttempts.remove(attempt);
     switch (verdict) {
-      case SOUND -> onSound(relativeLatency, nowNanos);
+      case ANSWERED -> onAnswered(relativeLatency, nowNanos);
       case FAILED -> onFailed(nowNanos, FAILURES_TO_SUSPEND);
       case UNREACHABLE -> onFailed(nowNanos, 1);
       case REPLACED -> setStatus(ServerStatus.REPLACED, nowNanos);
@@ -212,13 +212,15 @@
     }
   }
 
-  private void onSound(double relativeLatency, long nowNanos) {
+  private void onAnswered(double relativeLatency, long nowNanos) {
     consecutiveFailures = 0;
     suspensions = 0;
     suspended = false;
     if (relativeLatency > 0) {
-      double sample = Math.min(SLOWEST, relativeLatency / workFactor(nowNanos));
-      slowness = (1 - SPEED_WEIGHT) * lastingSlowness(nowNanos) + SPEED_WEIGHT * sample;
+      double sample = Math.min(MAXIMUM_SLOWNESS, relativeLatency / workFactor(nowNanos));
+      slowness =
+          (1 - SLOWNESS_SAMPLE_WEIGHT) * lastingSlowness(nowNanos)
+              + SLOWNESS_SAMPLE_WEIGHT * sample;
       slownessNanos = nowNanos;
     }
   }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardFixture.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardFixture.java
@@ -255,7 +255,7 @@
         signature,
         notRun,
         misdirected,
-        Optional.of(new LoadReport(0, 0, 2, LoadReport.USUAL)),
+        Optional.of(new LoadReport(0, 0, 2, LoadReport.USUAL_WORK_FACTOR)),
         ImmutableList.of(),
         Payload.of(new byte[32]));
   }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardSearchTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ForwardSearchTest.java
@@ -119,11 +119,11 @@
   }
 
   private void busyOthers(String service) {
-    report(service, new LoadReport(2, 12, 2, LoadReport.USUAL));
+    report(service, new LoadReport(2, 12, 2, LoadReport.USUAL_WORK_FACTOR));
   }
 
   private void idleOthers(String service) {
-    report(service, new LoadReport(0, 0, 2, LoadReport.USUAL));
+    report(service, new LoadReport(0, 0, 2, LoadReport.USUAL_WORK_FACTOR));
   }
 
   private void report(String service, LoadReport load) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/GatherersTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/GatherersTest.java
@@ -41,7 +41,7 @@
     add("b", "near-2", 1);
     add("c", "far", 1);
 
-    assertThat(first("far")).containsExactlyInAnyOrder("a", "b");
+    assertThat(primary("far")).containsExactlyInAnyOrder("a", "b");
   }
 
   @Test
@@ -49,7 +49,7 @@
     add("a", "near-1", 1);
     add("b", "near-2", 1);
 
-    assertThat(first("near-1")).containsExactly("a");
+    assertThat(primary("near-1")).containsExactly("a");
   }
 
   @Test
@@ -60,9 +60,9 @@
     add("large-2", "near-2", 1.5);
     Gatherers.Choice choice = choose("far", 0.4);
 
-    assertThat(ids(choice.first())).containsExactlyInAnyOrder("large-1", "large-2");
-    assertThat(ids(choice.reserve())).containsExactlyInAnyOrder("small-1", "small-2");
-    assertThat(choice.sharing()).isEqualTo(2);
+    assertThat(ids(choice.primary())).containsExactlyInAnyOrder("large-1", "large-2");
+    assertThat(ids(choice.backup())).containsExactlyInAnyOrder("small-1", "small-2");
+    assertThat(choice.primaryCount()).isEqualTo(2);
   }
 
   @Test
@@ -72,7 +72,7 @@
     }
 
     // 18 connections, two thirds of them used, two a gatherer: six.
-    assertThat(first("far")).hasSize(6);
+    assertThat(primary("far")).hasSize(6);
   }
 
   @Test
@@ -80,20 +80,20 @@
     add("a", "near-1", 0.4);
     Gatherers.Choice choice = choose("near-1", 1.5);
 
-    assertThat(choice.ownRole()).isEqualTo(Gatherers.OwnRole.FIRST);
-    assertThat(ids(choice.reserve())).containsExactly("a");
+    assertThat(choice.ownRole()).isEqualTo(Gatherers.OwnRole.PRIMARY);
+    assertThat(ids(choice.backup())).containsExactly("a");
   }
 
   @Test
   public void aSmallMachineBesideALargeOneIsItsReserve() {
     add("a", "near-1", 1.5);
 
-    assertThat(choose("near-1", 0.4).ownRole()).isEqualTo(Gatherers.OwnRole.RESERVE);
+    assertThat(choose("near-1", 0.4).ownRole()).isEqualTo(Gatherers.OwnRole.BACKUP);
   }
 
   @Test
   public void withoutRoutersBesideTheServersThisOneGathersItself() {
-    assertThat(choose("far", 1).ownRole()).isEqualTo(Gatherers.OwnRole.FIRST);
+    assertThat(choose("far", 1).ownRole()).isEqualTo(Gatherers.OwnRole.PRIMARY);
   }
 
   @Test
@@ -107,7 +107,7 @@
     Gatherers.Choice choice = choose("near-1", 1.5);
 
     assertThat(choice.ownRole()).isEqualTo(Gatherers.OwnRole.NONE);
-    assertThat(ids(choice.first())).containsExactly("a");
+    assertThat(ids(choice.primary())).containsExactly("a");
   }
 
   @Test
@@ -117,11 +117,11 @@
     add("a", "near-1", 1);
     add("b", "half", 1);
 
-    assertThat(first("half")).containsExactly("a");
+    assertThat(primary("half")).containsExactly("a");
   }
 
-  private List<String> first(String ownZone) {
-    return ids(choose(ownZone, 1).first());
+  private List<String> primary(String ownZone) {
+    return ids(choose(ownZone, 1).primary());
   }
 
   private static List<String> ids(List<NearbyRouter> routers) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RestartedServerTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RestartedServerTest.java
@@ -4,8 +4,8 @@
 
 import io.arrowarch.core.FakeClock;
 import io.arrowarch.core.event.EventLog;
+import io.arrowarch.core.server.EntryVersion;
 import io.arrowarch.core.server.ServerEntry;
-import io.arrowarch.core.server.ServerLife;
 import io.arrowarch.core.server.ServerState;
 import io.arrowarch.core.server.ServerStatus;
 import io.arrowarch.core.store.StoreRevision;
@@ -49,7 +49,7 @@
         2,
         draining,
         Duration.ZERO,
-        new ServerLife(born, sequence));
+        new EntryVersion(born, sequence));
   }
 
   private void write(ServerEntry entry) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/server/ServerEntriesTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/server/ServerEntriesTest.java
@@ -19,11 +19,11 @@
         2,
         false,
         Duration.ZERO,
-        new ServerLife(born, sequence));
+        new EntryVersion(born, sequence));
   }
 
   private static boolean isBefore(long born, long sequence, long otherBorn, long otherSequence) {
-    return new ServerLife(born, sequence).isBefore(new ServerLife(otherBorn, otherSequence));
+    return new EntryVersion(born, sequence).isBefore(new EntryVersion(otherBorn, otherSequence));
   }
 
   @Test
--- a/arrowarch-core/src/test/java/io/arrowarch/core/server/ServerStateTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/server/ServerStateTest.java
@@ -44,7 +44,7 @@
     clock.advance(Duration.ofMillis(300));
     assertThat(usable()).containsExactly("b");
     clock.advance(Duration.ofMillis(300));
-    end(start("a"), "a", AttemptVerdict.SOUND);
+    end(start("a"), "a", AttemptVerdict.ANSWERED);
     end(start("a"), "a", AttemptVerdict.UNREACHABLE);
     clock.advance(Duration.ofMillis(300));
     assertThat(usable()).containsExactly("a", "b");
@@ -64,7 +64,7 @@
     clock.advance(Duration.ofMillis(300));
     long trial = start("a");
     assertThat(usable()).containsExactly("b");
-    end(trial, "a", AttemptVerdict.SOUND);
+    end(trial, "a", AttemptVerdict.ANSWERED);
     assertThat(usable()).containsExactly("a", "b");
   }
 
@@ -88,7 +88,7 @@
   @Test
   public void slownessIsMeasuredAndForgotten() {
     for (int i = 0; i < 20; i++) {
-      directory.onEnded("a", start("a"), AttemptVerdict.SOUND, 7, clock.nanoTime());
+      directory.onEnded("a", start("a"), AttemptVerdict.ANSWERED, 7, clock.nanoTime());
     }
     assertThat(state("a").slowness(clock.nanoTime())).isCloseTo(7, within(0.1));
     clock.advance(Duration.ofSeconds(40));
@@ -108,7 +108,8 @@
   @Test
   public void loadIsOwnAttemptsAndTheFreshPartOfOthers() {
     start("a");
-    directory.onReport("a", new LoadReport(2, 3, 2, LoadReport.USUAL), clock.nanoTime());
+    directory.onReport(
+        "a", new LoadReport(2, 3, 2, LoadReport.USUAL_WORK_FACTOR), clock.nanoTime());
     assertThat(state("a").load(clock.nanoTime())).isEqualTo(5);
     clock.advance(Duration.ofMillis(200));
     assertThat(state("a").load(clock.nanoTime())).isCloseTo(3, within(0.01));
@@ -128,7 +129,7 @@
   public void whatTookLongOnABusyMachineIsNotRememberedOfTheServer() {
     long attempt = start("a");
     directory.onReport("a", new LoadReport(0, 0, 2, 4), clock.nanoTime());
-    directory.onEnded("a", attempt, AttemptVerdict.SOUND, 4, clock.nanoTime());
+    directory.onEnded("a", attempt, AttemptVerdict.ANSWERED, 4, clock.nanoTime());
     clock.advance(Duration.ofMillis(500));
     assertThat(state("a").slowness(clock.nanoTime())).isCloseTo(1, within(0.01));
   }
--- a/arrowarch-node/src/main/java/io/arrowarch/node/forward/ForwardingNode.java
+++ b/arrowarch-node/src/main/java/io/arrowarch/node/forward/ForwardingNode.java
@@ -285,7 +285,7 @@
    * its code ahead takes 1.4 s of processor and makes the first searches no faster.
    */
   private void warmUpForRole() {
-    boolean alone = router.coordinator().searchRole() == SearchRole.ALONE;
+    boolean alone = router.coordinator().searchRole() == SearchRole.DIRECT;
     if (callers.connectionCount() > 0 || !alone) {
       onWarm(0, false);
       return;
