--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/DelegationProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/DelegationProperties.java
@@ -22,14 +22,15 @@
 import net.jqwik.api.Tuple;
 
 /**
- * Two routers, one of which hands parts to the other, under sequences of requests, slow, lost and
- * repeated messages, a router that is paused or killed, and configurations that reach one of them
- * first.
+ * One router delegates searches to another under random sequences of requests, slow, lost and
+ * repeated messages, broken connections, cancelled requests, and configurations that reach one
+ * router first. Guards against requests that never end, end twice or run on more servers than
+ * allowed.
  */
 class DelegationProperties {
   private static final int SHARDS = 6;
 
-  /** What happens next; {@code pick} chooses among what is there. */
+  /** The kinds of steps; {@link Step#pick} chooses the request, attempt or message. */
   enum Event {
     REQUEST,
     ANSWER_NEAR,
@@ -47,7 +48,7 @@
     LONG_TIME
   }
 
-  /** One event. */
+  /** One step of a sequence. */
   record Step(Event event, int pick) {}
 
   @Provide
@@ -80,7 +81,7 @@
     new Run().play(steps);
   }
 
-  /** One sequence, with the oracle's knowledge. */
+  /** One sequence and the state that the checks need. */
   private static final class Run {
     private final RouterPair routers = new RouterPair();
     private final List<ForwardHandle> handles = new ArrayList<>();
@@ -116,7 +117,7 @@
                 .forEach(
                     number ->
                         routers.near.coordinator.onDelegateFailure(number, DelegateFailure.BROKEN));
-        case CALLER_LEAVES -> callerLeaves(step);
+        case CALLER_LEAVES -> cancelOne(step);
         case NEWER_CONFIGURATION_NEAR -> routers.routeNear(++versionNear);
         case NEWER_CONFIGURATION_FAR -> newerConfigurationFar();
         case SHORT_TIME -> routers.advance(Duration.ofMillis(step.pick() % 40));
@@ -125,7 +126,7 @@
       }
     }
 
-    /** In turn: another set of shards, no search at all, the first set again. */
+    /** Cycles through fewer shards, a route to one server, and the initial shards. */
     private void newerConfigurationFar() {
       versionFar++;
       switch ((int) (versionFar % 3)) {
@@ -163,19 +164,19 @@
       return all.isEmpty() ? List.of() : List.of(all.get(step.pick() % all.size()));
     }
 
-    private void callerLeaves(Step step) {
+    private void cancelOne(Step step) {
       if (handles.isEmpty()) {
         return;
       }
       int before = routers.near.coordinator.inProgress();
       int ended = routers.near.outcomes.size();
       handles.get(step.pick() % handles.size()).cancel();
-      // What a cancelled search leaves free may let others go on, and some of them end.
+      // A cancelled search frees capacity, so that others may continue and some of them end now.
       int endedNow = routers.near.outcomes.size() - ended;
       cancelled += before - routers.near.coordinator.inProgress() - endedNow;
     }
 
-    /** Both routers together may run no shard of a request on more servers than allowed. */
+    /** Both routers together must not run a shard of a request on more servers than allowed. */
     private void checkAttempts() {
       SetMultimap<String, String> servers = HashMultimap.create();
       Map<String, Integer> sent = new HashMap<>();
@@ -187,7 +188,7 @@
         }
       }
       assertThat(servers.asMap().values()).allMatch(ran -> ran.size() <= 2);
-      // Twice on each where answers were lost.
+      // A server may get the shard twice if its first answer was lost.
       assertThat(sent.values()).allMatch(attempts -> attempts <= 4);
     }
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/DelegationTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/DelegationTest.java
@@ -10,7 +10,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Searches that are handed to a router nearer to their servers. */
+/**
+ * Searches that are delegated to a router nearer to their servers. Guards against parts that are
+ * lost, run more often than allowed or reported with a wrong outcome when the delegate declines the
+ * search, does not reply or has another configuration.
+ */
 public final class DelegationTest {
   private static final long FIRST = 1;
   private static final long SECOND = 2;
@@ -44,7 +48,7 @@
   }
 
   @Test
-  public void aRouterThatKnowsNoServersHandsOnAllTheSame() {
+  public void aRouterThatKnowsNoServersStillDelegates() {
     for (String shard : RouterPair.SHARDS) {
       for (String zone : ImmutableList.of("-a", "-b", "-c")) {
         routers.near.directory.onGone(shard + zone, routers.clock.nanoTime());
@@ -60,7 +64,7 @@
   }
 
   @Test
-  public void anAnswerHoldsWhatTheGathererHasGot() {
+  public void anAnswerHoldsWhatTheGathererHasMerged() {
     routers.near.submit();
     routers.deliver(FIRST);
     assertThat(routers.far.sent)
@@ -77,7 +81,7 @@
   }
 
   @Test
-  public void partsThatTheOtherLeavesOutAreToldAsMissing() {
+  public void partsThatTheDelegateLeavesOutCountAsMissing() {
     routers.near.submit();
     routers.deliver(FIRST);
     routers.far.sent.subList(0, 4).stream().toList().forEach(routers.far::answer);
@@ -102,7 +106,7 @@
   }
 
   @Test
-  public void whatIsDeclinedIsRunHere() {
+  public void declinedPartsAreRunHere() {
     routers.near.submit();
     routers.routeFarToOneServer(2);
     routers.deliver(FIRST);
@@ -115,7 +119,7 @@
   }
 
   @Test
-  public void theVersionOfTheRouterThatHandsOnDecidesWhichShardsAreSearched() {
+  public void theConfigurationOfTheDelegatingRouterDecidesWhichShardsAreSearched() {
     routers.near.submit();
     routers.cutFarIntoFewerShards(2);
     routers.deliver(FIRST);
@@ -126,7 +130,7 @@
   }
 
   @Test
-  public void whatCouldNotBeSentIsRunHere() {
+  public void partsThatCouldNotBeSentAreRunHere() {
     routers.near.submit();
     routers.near.coordinator.onDelegateFailure(FIRST, DelegateFailure.UNREACHABLE);
 
@@ -134,7 +138,7 @@
   }
 
   @Test
-  public void whatCouldNotBeSentGoesToAnotherGathererFirst() {
+  public void partsThatCouldNotBeSentGoToAnotherGathererFirst() {
     routers.addDelegate();
     routers.near.submit();
     routers.near.coordinator.onDelegateFailure(FIRST, DelegateFailure.UNREACHABLE);
@@ -146,7 +150,7 @@
   }
 
   @Test
-  public void whatMayHaveRunAndIsLostIsNotRunAgainNorSaidToHaveNotRun() {
+  public void lostPartsAreNotRunAgainNorReportedAsNotExecuted() {
     routers.addDelegate();
     routers.near.submit();
     routers.near.coordinator.onDelegateFailure(FIRST, DelegateFailure.BROKEN);
@@ -157,7 +161,7 @@
   }
 
   @Test
-  public void aRouterThatSaysNothingIsLeftAloneForAWhile() {
+  public void aSilentDelegateIsCancelledAndSuspended() {
     routers.near.submit();
     routers.advance(ForwardFixture.TIMEOUT.dividedBy(2).plusMillis(100));
     routers.near.submit();
@@ -167,7 +171,7 @@
   }
 
   @Test
-  public void aSearchThatStandsStillThereKeepsOthersHereAtOnce() {
+  public void aStalledDelegateGetsNoFurtherSearches() {
     routers.near.submit();
     routers.advance(ForwardFixture.OBJECTIVE.multipliedBy(3).dividedBy(2));
     routers.near.submit();
@@ -176,7 +180,7 @@
   }
 
   @Test
-  public void aLongWayTakesNoMoreThanTwoFifthsOfTheObjective() {
+  public void theTimeReservedForOverheadIsAtMostTwoFifthsOfTheObjective() {
     routers.near.submit();
     routers.deliver(FIRST);
     answerAll(routers.far);
@@ -190,7 +194,7 @@
   }
 
   @Test
-  public void aCallerThatLeavesStopsTheOtherRouter() {
+  public void aCancelledSearchIsCancelledAtTheDelegate() {
     ForwardHandle handle = routers.near.submit();
     routers.deliver(FIRST);
     handle.cancel();
@@ -200,7 +204,7 @@
   }
 
   @Test
-  public void withoutAnotherRouterAllPartsAreRunHere() {
+  public void withoutOtherRoutersAllPartsAreRunHere() {
     routers.loseDelegate();
     routers.near.submit();
 
@@ -208,7 +212,7 @@
   }
 
   @Test
-  public void aRouterDeclinesWhatIsNoSearchThereAndAsksNoServer() {
+  public void aDelegateWithoutASearchRouteDeclinesAndQueriesNoServer() {
     routers.near.submit();
     routers.routeFarToOneServer(2);
     routers.deliver(FIRST);
@@ -218,7 +222,7 @@
   }
 
   @Test
-  public void aRouterDeclinesShardsWithoutServersAndAsksNone() {
+  public void aDelegateWithoutServersForTheShardsDeclinesAndQueriesNone() {
     routers.near.submit();
     DelegatedSearch search = routers.underWay.get(FIRST);
     DelegatedSearch other =
@@ -236,7 +240,7 @@
   }
 
   @Test
-  public void whereServersHaveConnectionsForAllEachRouterAsksThemItself() {
+  public void nothingIsDelegatedIfServersHaveConnectionsForAllRouters() {
     ForwardFixture alone = new ForwardFixture(2);
     alone.route(true, "s1", "s2", "s3", "s4", "s5", "s6");
     for (int shard = 1; shard <= 6; shard++) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/GatherersTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/GatherersTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Which routers gather the parts of wide searches. */
+/** The choice of the routers that gather the parts of wide searches. */
 public final class GatherersTest {
   private static final ImmutableList<String> SHARDS = ImmutableList.of("s1", "s2", "s3", "s4");
   private static final int ROUTERS = 95;
@@ -36,7 +36,7 @@
   }
 
   @Test
-  public void theyStandInTheZonesOfTheServers() {
+  public void gatherersAreInTheZonesOfTheServers() {
     add("a", "near-1", 1);
     add("b", "near-2", 1);
     add("c", "far", 1);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  public void thoseOfTheOwnZoneAreUsedWhereItHasTheServers() {
+  public void aRouterNearTheServersUsesTheGatherersOfItsZone() {
     add("a", "near-1", 1);
     add("b", "near-2", 1);
 
@@ -53,7 +53,7 @@
   }
 
   @Test
-  public void theyAreTheLargerMachines() {
+  public void largerMachinesArePrimaryGatherers() {
     add("small-1", "near-1", 0.4);
     add("large-1", "near-1", 1.5);
     add("small-2", "near-2", 0.4);
@@ -66,17 +66,17 @@
   }
 
   @Test
-  public void theyAreNoMoreThanTheServersHaveConnectionsFor() {
+  public void theConnectionsOfTheServersLimitTheGatherers() {
     for (int number = 0; number < 20; number++) {
       add("router-" + number, number % 2 == 0 ? "near-1" : "near-2", 1);
     }
 
-    // 18 connections, two thirds of them used, two a gatherer: six.
+    // Two thirds of the 18 connections are used, two per gatherer: six gatherers.
     assertThat(primary("far")).hasSize(6);
   }
 
   @Test
-  public void aLargeMachineBesideTheServersGathersItself() {
+  public void aLargeMachineNearTheServersGathersItself() {
     add("a", "near-1", 0.4);
     Gatherers.Choice choice = choose("near-1", 1.5);
 
@@ -85,19 +85,19 @@
   }
 
   @Test
-  public void aSmallMachineBesideALargeOneIsItsReserve() {
+  public void aSmallMachineNextToALargeOneIsABackup() {
     add("a", "near-1", 1.5);
 
     assertThat(choose("near-1", 0.4).ownRole()).isEqualTo(Gatherers.OwnRole.BACKUP);
   }
 
   @Test
-  public void withoutRoutersBesideTheServersThisOneGathersItself() {
+  public void withoutRoutersNearTheServersThisOneGathersItself() {
     assertThat(choose("far", 1).ownRole()).isEqualTo(Gatherers.OwnRole.PRIMARY);
   }
 
   @Test
-  public void aRouterThatMissesMostServersGathersNothingItself() {
+  public void aRouterThatKnowsTooFewServersDoesNotGather() {
     for (String shard : SHARDS.subList(0, 3)) {
       directory.onGone(shard + "-near-1", clock.nanoTime());
       directory.onGone(shard + "-near-2", clock.nanoTime());
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/SearchLayoutTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/SearchLayoutTest.java
@@ -14,16 +14,16 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** Whether routers gather for others, and in which groups. */
+/** Whether some routers gather for others, how many, and in which groups. */
 public final class SearchLayoutTest {
   @Test
-  public void everyRouterAsksItselfWhileServersHaveConnectionsForAll() {
+  public void nothingIsGatheredWhileServersHaveConnectionsForAllRouters() {
     assertThat(layout(7, 20, 26).isGathered("shard-0")).isFalse();
     assertThat(layout(30, 20, 70).isGathered("shard-0")).isFalse();
   }
 
   @Test
-  public void someGatherWhereConnectionsAreFew() {
+  public void someRoutersGatherIfServersHaveFewConnections() {
     SearchLayout layout = layout(95, 60, 70);
 
     assertThat(layout.isGathered("shard-0")).isTrue();
@@ -31,12 +31,12 @@
   }
 
   @Test
-  public void twoRoutersGatherEvenWhereServersTakeHardlyAnyConnection() {
+  public void atLeastTwoRoutersGather() {
     assertThat(layout(95, 60, 1).gatherersAllowed("shard-0")).isEqualTo(2);
   }
 
   @Test
-  public void aServiceThatIsNoShardIsNeverGathered() {
+  public void aServiceThatIsNotAShardIsNeverGathered() {
     assertThat(layout(95, 60, 70).isGathered("single")).isFalse();
   }
 
@@ -53,7 +53,7 @@
   }
 
   @Test
-  public void theGroupOfAShardIsKnown() {
+  public void aShardHasTheGroupOfItsSearch() {
     assertThat(layout(95, 60, 70).groupOf("shard-7")).isEqualTo(shards(60));
     assertThat(layout(95, 60, 70).groupOf("single")).isEmpty();
   }
@@ -62,7 +62,7 @@
     return layout(routers, shards(width), connections);
   }
 
-  /** The layout of one search over these shards. */
+  /** The layout for one search over the given shards. */
   static SearchLayout layout(int routers, ImmutableList<String> shards, int connections) {
     SearchLayout layout = new SearchLayout(() -> routers, true);
     ImmutableMap.Builder<String, ServiceSettings> services = ImmutableMap.builder();
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ShardGroupsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ShardGroupsTest.java
@@ -10,6 +10,10 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
+/**
+ * Groups of shards and the ranking of routers. Routers that rank differently, or reorder the others
+ * when one leaves, would spread a group over too many gatherers.
+ */
 public final class ShardGroupsTest {
   private static final int GROUPS = 4;
 
@@ -23,7 +27,7 @@
   }
 
   @Test
-  public void aRouterThatGoesMovesNoOther() {
+  public void aRouterThatLeavesDoesNotReorderTheOthers() {
     ImmutableList<String> group = names("shard", 20);
     ImmutableList<NearbyRouter> routers = routers(20);
     ImmutableList<NearbyRouter> before = ShardGroups.ranked(group, routers);
@@ -38,7 +42,7 @@
   }
 
   @Test
-  public void theOrderInWhichRoutersAreKnownMakesNoDifference() {
+  public void theOrderOfTheInputDoesNotMatter() {
     ImmutableList<String> group = names("shard", 20);
     ImmutableList<NearbyRouter> routers = routers(20);
 
@@ -58,7 +62,7 @@
   }
 
   @Test
-  public void noRouterGathersMostGroups() {
+  public void groupsAreSpreadOverTheRouters() {
     ImmutableList<NearbyRouter> routers = routers(20);
     Map<NearbyRouter, Integer> gathered = new HashMap<>();
     for (ImmutableList<String> group : ShardGroups.split(names("shard", 400), 40)) {
@@ -67,7 +71,7 @@
       }
     }
 
-    // 40 groups by 5 gatherers over 20 routers: 10 each.
+    // 40 groups with 5 gatherers each over 20 routers: 10 per router on average.
     assertThat(gathered.values()).allMatch(groups -> groups >= 3 && groups <= 18);
   }
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/route/RoutingConfigurationTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/route/RoutingConfigurationTest.java
@@ -9,6 +9,7 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
+/** The choice of a route by host and path prefix. */
 public final class RoutingConfigurationTest {
   private static final RoutingConfiguration CONFIGURATION =
       new RoutingConfiguration(
@@ -33,7 +34,7 @@
   }
 
   @Test
-  public void thePrefixIsOfThePathNotOfTheQuery() {
+  public void theQueryIsNotMatched() {
     assertThat(match("a.example", "/x?/x/y/")).isEmpty();
     assertThat(match("a.example", "/x/?a=/x/y/")).contains("short");
   }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/server/EvacuationTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/server/EvacuationTest.java
@@ -7,6 +7,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/**
+ * Servers of an evacuated zone are not used. After the evacuation they may be cold before their
+ * entries say so; unlimited requests would overload them.
+ */
 public final class EvacuationTest {
   private static final Duration WARM_UP = Duration.ofSeconds(3);
 
@@ -36,14 +40,14 @@
   }
 
   @Test
-  public void theyAreNoLastResortEither() {
+  public void evacuatedServersAreNoLastResort() {
     directory.onEvacuated("zone-a");
     directory.onEvacuated("zone-c");
     assertThat(usable()).isEmpty();
   }
 
   @Test
-  public void theyComeBackWhenTheEvacuationIsTakenBack() {
+  public void serversAreUsedAgainAfterTheEvacuation() {
     directory.onEvacuated("zone-a");
     assertThat(directory.onEvacuationEnded("zone-a", service -> WARM_UP, 0)).isTrue();
     assertThat(directory.onEvacuationEnded("zone-a", service -> WARM_UP, 0)).isFalse();
@@ -51,7 +55,7 @@
   }
 
   @Test
-  public void theyMayBeColdThen() {
+  public void serversAreColdAfterTheEvacuation() {
     directory.onEvacuated("zone-a");
     directory.onEvacuationEnded("zone-a", service -> WARM_UP, 0);
     assertThat(directory.find("a").orElseThrow().isCold(WARM_UP.toNanos() - 1)).isTrue();
--- a/arrowarch-core/src/test/java/io/arrowarch/core/server/ServerChooserTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/server/ServerChooserTest.java
@@ -8,11 +8,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** The choice between a server of the own zone and one of another zone. */
 public final class ServerChooserTest {
-  private static final long USUAL = Duration.ofMillis(20).toNanos();
+  private static final long EXPECTED_NANOS = Duration.ofMillis(20).toNanos();
 
-  /** What the objective gives for a server of the own zone. */
-  private static final long GIVEN = Duration.ofMillis(30).toNanos();
+  /** By how much a server of another zone must be faster to be chosen. */
+  private static final long OTHER_ZONE_NANOS = Duration.ofMillis(30).toNanos();
 
   private static final int CHOICES = 100;
 
@@ -27,39 +28,45 @@
   }
 
   @Test
-  public void servesFromItsOwnZoneWhileThatIsInTimeAllTheSame() {
-    // Both slots are taken: a wait of half a length, where the other zone has none.
+  public void staysInItsZoneWhileAnAnswerIsInTime() {
+    // Both slots are taken: an attempt waits for half its length here, and not in the other zone.
     open("near", 2);
 
-    assertThat(chosenNear(GIVEN)).isEqualTo(CHOICES);
+    assertThat(chosenNear(OTHER_ZONE_NANOS)).isEqualTo(CHOICES);
   }
 
   @Test
-  public void takesTheFasterServerWhenNothingIsGivenForTheZone() {
+  public void takesTheFasterServerIfZonesCostNothing() {
     open("near", 2);
 
     assertThat(chosenNear(0)).isZero();
   }
 
   @Test
-  public void leavesItsZoneWhenTheQueueThereCostsMoreThanIsGiven() {
+  public void leavesItsZoneIfItsQueueCostsMoreThanTheOtherZone() {
     open("near", 7);
 
-    assertThat(chosenNear(GIVEN)).isZero();
+    assertThat(chosenNear(OTHER_ZONE_NANOS)).isZero();
   }
 
   @Test
-  public void leavesItsZoneWhenTheServerThereStandsStill() {
+  public void leavesItsZoneIfItsServerIsStalled() {
     open("near", 1);
 
     long later = Duration.ofMillis(100).toNanos();
-    assertThat(chooser.choose(servers(), USUAL, GIVEN, later).orElseThrow().id()).isEqualTo("far");
+    assertThat(
+            chooser.choose(servers(), EXPECTED_NANOS, OTHER_ZONE_NANOS, later).orElseThrow().id())
+        .isEqualTo("far");
   }
 
-  private int chosenNear(long given) {
+  private int chosenNear(long otherZoneNanos) {
     int near = 0;
     for (int i = 0; i < CHOICES; i++) {
-      if (chooser.choose(servers(), USUAL, given, 0).orElseThrow().id().equals("near")) {
+      if (chooser
+          .choose(servers(), EXPECTED_NANOS, otherZoneNanos, 0)
+          .orElseThrow()
+          .id()
+          .equals("near")) {
         near++;
       }
     }
@@ -77,7 +84,7 @@
 
   private void open(String id, int attempts) {
     for (int number = 0; number < attempts; number++) {
-      directory.onStarted(id, number, 0, USUAL);
+      directory.onStarted(id, number, 0, EXPECTED_NANOS);
     }
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/server/ServerStateTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/server/ServerStateTest.java
@@ -9,10 +9,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/**
+ * What a router concludes about a server from its entry, its load reports and the ends of attempts:
+ * suspension, stalls, slowness, load and the last resort.
+ */
 public final class ServerStateTest {
   private static final Duration LAST_RESORT = Duration.ofSeconds(3);
 
-  private static final long EXPECTED = Duration.ofMillis(40).toNanos();
+  private static final long EXPECTED_NANOS = Duration.ofMillis(40).toNanos();
 
   private FakeClock clock;
   private ServerDirectory directory;
@@ -51,7 +55,7 @@
   }
 
   @Test
-  public void oneBrokenAnswerSuspendsNobody() {
+  public void oneFailureDoesNotSuspendAServer() {
     end(start("a"), "a", AttemptVerdict.FAILED);
     assertThat(usable()).containsExactly("a", "b");
     end(start("a"), "a", AttemptVerdict.FAILED);
@@ -69,14 +73,14 @@
   }
 
   @Test
-  public void whereAllAreSuspendedTheyAreUsed() {
+  public void suspendedServersAreUsedIfThereAreNoOthers() {
     end(start("a"), "a", AttemptVerdict.UNREACHABLE);
     end(start("b"), "b", AttemptVerdict.UNREACHABLE);
     assertThat(usable()).containsExactly("a", "b");
   }
 
   @Test
-  public void anAttemptOpenForLongSaysThatTheServerStandsStill() {
+  public void aLongOpenAttemptShowsThatTheServerIsStalled() {
     start("a");
     clock.advance(Duration.ofMillis(100));
     assertThat(state("a").stalledNanos(clock.nanoTime())).isZero();
@@ -96,7 +100,7 @@
   }
 
   @Test
-  public void aColdServerIsTakenToBeSlow() {
+  public void aColdServerCountsAsSlow() {
     directory.onEntry(
         new ServerEntry("c", "s", "10.0.0.3:80", "z", 2, false, Duration.ofSeconds(3)),
         clock.nanoTime());
@@ -106,7 +110,7 @@
   }
 
   @Test
-  public void loadIsOwnAttemptsAndTheFreshPartOfOthers() {
+  public void loadIsOwnAttemptsAndAFadingShareOfOthers() {
     start("a");
     directory.onReport(
         "a", new LoadReport(2, 3, 2, LoadReport.USUAL_WORK_FACTOR), clock.nanoTime());
@@ -118,7 +122,7 @@
   }
 
   @Test
-  public void aServerThatSaysThatWorkTakesLongIsSlowForAMoment() {
+  public void aReportedWorkFactorSlowsTheServerForAShortTime() {
     directory.onReport("a", new LoadReport(0, 0, 2, 3), clock.nanoTime());
     assertThat(state("a").slowness(clock.nanoTime())).isEqualTo(3);
     clock.advance(Duration.ofMillis(500));
@@ -126,7 +130,7 @@
   }
 
   @Test
-  public void whatTookLongOnABusyMachineIsNotRememberedOfTheServer() {
+  public void latencyThatTheWorkFactorExplainsIsNotRemembered() {
     long attempt = start("a");
     directory.onReport("a", new LoadReport(0, 0, 2, 4), clock.nanoTime());
     directory.onEnded("a", attempt, AttemptVerdict.ANSWERED, 4, clock.nanoTime());
@@ -135,7 +139,7 @@
   }
 
   @Test
-  public void aLeavingServerIsALastResortForAMomentOnly() {
+  public void serversWithoutEntriesAreUsedForTheLastResortTimeOnly() {
     directory.onGone("a", clock.nanoTime());
     directory.onGone("b", clock.nanoTime());
     assertThat(usable()).containsExactly("a", "b");
@@ -144,7 +148,7 @@
   }
 
   @Test
-  public void aServerThatMayHaveBeenLeavingForLongIsNoLastResort() {
+  public void aServerThatMayHaveLeftLongAgoIsNoLastResort() {
     long nowNanos = clock.nanoTime();
     long longAgo = nowNanos - LAST_RESORT.toNanos();
     directory.onEntry(draining("a"), longAgo, nowNanos);
@@ -157,7 +161,7 @@
   }
 
   @Test
-  public void aServerWhoseEntryHasJustGoneIsUsedBesideTheOthers() {
+  public void aServerWhoseEntryWasJustRemovedIsUsedBesideOthers() {
     directory.onGone("a", clock.nanoTime());
     assertThat(usable()).containsExactlyInAnyOrder("a", "b");
     clock.advance(LAST_RESORT);
@@ -166,7 +170,7 @@
   }
 
   @Test
-  public void aServerThatSaysThatItLeavesIsNotUsedBesideOthers() {
+  public void aDrainingServerIsNotUsedBesideOthers() {
     directory.onDraining("a", clock.nanoTime());
 
     assertThat(usable()).containsExactly("b");
@@ -180,7 +184,7 @@
   }
 
   @Test
-  public void anEntryThatComesBackIsUsedAgain() {
+  public void aServerWhoseEntryReturnsIsUsedAgain() {
     directory.onGone("a", clock.nanoTime());
     clock.advance(LAST_RESORT);
     assertThat(usable()).containsExactly("b");
@@ -198,7 +202,7 @@
 
   private long start(String id) {
     long attempt = nextAttempt++;
-    directory.onStarted(id, attempt, clock.nanoTime(), EXPECTED);
+    directory.onStarted(id, attempt, clock.nanoTime(), EXPECTED_NANOS);
     return attempt;
   }
 
