--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateChooser.java
@@ -33,7 +33,7 @@
   private final Gatherers gatherers;
   private final RandomGenerator random;
   private final Map<NearbyRouter, DelegateState> states = new HashMap<>();
-  private ImmutableList<NearbyRouter> known = ImmutableList.of();
+  private ImmutableList<NearbyRouter> lastNearby = ImmutableList.of();
 
   /** A router and the shards to delegate to it. */
   record Choice(NearbyRouter delegate, ImmutableList<String> shards) {}
@@ -71,10 +71,10 @@
   }
 
   private void forgetDepartedRouters() {
-    ImmutableList<NearbyRouter> now = routers.nearby();
-    if (!now.equals(known)) {
-      known = now;
-      Set<NearbyRouter> present = new HashSet<>(now);
+    ImmutableList<NearbyRouter> nearby = routers.nearby();
+    if (!nearby.equals(lastNearby)) {
+      lastNearby = nearby;
+      Set<NearbyRouter> present = new HashSet<>(nearby);
       states.keySet().removeIf(router -> !present.contains(router));
     }
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Delegator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Delegator.java
@@ -26,13 +26,13 @@
   /** Notified once of the end of each delegated group, unless the group is cancelled. */
   interface Listener {
     /** The other router has answered; some parts may be missing from the answer. */
-    void onAnswered(DelegatedGroup handed, ForwardedAnswer.Merged answer);
+    void onAnswered(DelegatedGroup group, ForwardedAnswer.Merged answer);
 
     /** The other router has run none of the parts and never will. */
-    void onDeclined(DelegatedGroup handed);
+    void onDeclined(DelegatedGroup group);
 
     /** The parts may have run, and no answer will come. */
-    void onLost(DelegatedGroup handed);
+    void onLost(DelegatedGroup group);
   }
 
   /** Parts of a search that are delegated to one router. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
@@ -111,7 +111,7 @@
         knowsTooFewShards
             ? ImmutableList.copyOf(byZone.keySet())
             : zonesNearServers(group, byZone, nowNanos);
-    double largest = largest(zones, byZone);
+    double largestCores = largestCores(zones, byZone);
     int allowed = Math.max(1, layout.gatherersAllowed(group.get(0)) / zones.size());
     boolean near = !knowsTooFewShards && zones.contains(options.zone());
     List<NearbyRouter> primary = new ArrayList<>();
@@ -122,7 +122,7 @@
       ImmutableList<NearbyRouter> ranked = ShardGroups.ranked(group, byZone.get(zone));
       boolean usedFromHere = !near || zone.equals(options.zone());
       for (NearbyRouter router : ranked.subList(0, Math.min(allowed, ranked.size()))) {
-        boolean isPrimary = router.cores() >= PRIMARY_CORES_FRACTION * largest;
+        boolean isPrimary = router.cores() >= PRIMARY_CORES_FRACTION * largestCores;
         primaryCount += isPrimary ? 1 : 0;
         if (router.id().equals(options.id())) {
           ownRole = isPrimary ? OwnRole.PRIMARY : OwnRole.BACKUP;
@@ -176,13 +176,13 @@
     return near;
   }
 
-  private static double largest(List<String> zones, Map<String, List<NearbyRouter>> byZone) {
-    double largest = 0;
+  private static double largestCores(List<String> zones, Map<String, List<NearbyRouter>> byZone) {
+    double largestCores = 0;
     for (String zone : zones) {
       for (NearbyRouter router : byZone.get(zone)) {
-        largest = Math.max(largest, router.cores());
+        largestCores = Math.max(largestCores, router.cores());
       }
     }
-    return largest;
+    return largestCores;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
@@ -59,10 +59,10 @@
     long number = nextNumber++;
     DelegateState state = chooser.state(choice.delegate());
     RequestTimes times = search.times();
-    long silentNanos =
+    long silenceDeadlineNanos =
         Math.min(times.giveUpNanos(), times.attemptDeadlineNanos() + SILENCE_SLACK.toNanos());
     TimerQueue.Timer silence =
-        timers.schedule(silentNanos, () -> onFailure(number, DelegateFailure.SILENT));
+        timers.schedule(silenceDeadlineNanos, () -> onFailure(number, DelegateFailure.SILENT));
     Group group = new Group(number, search, choice, state, listener, silence);
     groups.put(number, group);
     state.onSent(number, nowNanos);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerDirectory.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerDirectory.java
@@ -160,7 +160,7 @@
    * time, while the store is unavailable, and failed attempts show sooner that a server has ended.
    */
   public List<ServerState> usable(String service, long nowNanos) {
-    List<ServerState> sound = new ArrayList<>();
+    List<ServerState> healthy = new ArrayList<>();
     List<ServerState> suspended = new ArrayList<>();
     List<ServerState> lastResort = new ArrayList<>();
     for (ServerState server : byService.get(service)) {
@@ -168,13 +168,13 @@
         continue;
       }
       if (server.isAvailable(nowNanos)) {
-        (server.isSuspended(nowNanos) ? suspended : sound).add(server);
+        (server.isSuspended(nowNanos) ? suspended : healthy).add(server);
       } else if (server.isLastResort(nowNanos)) {
         lastResort.add(server);
       }
     }
-    if (!sound.isEmpty()) {
-      return sound;
+    if (!healthy.isEmpty()) {
+      return healthy;
     }
     return suspended.isEmpty() ? lastResort : suspended;
   }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ShardGroupsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ShardGroupsTest.java
@@ -31,14 +31,15 @@
     ImmutableList<String> group = names("shard", 20);
     ImmutableList<NearbyRouter> routers = routers(20);
     ImmutableList<NearbyRouter> before = ShardGroups.ranked(group, routers);
-    NearbyRouter gone = before.get(3);
-    ImmutableList<NearbyRouter> left =
+    NearbyRouter departed = before.get(3);
+    ImmutableList<NearbyRouter> remaining =
         routers.stream()
-            .filter(router -> !router.equals(gone))
+            .filter(router -> !router.equals(departed))
             .collect(ImmutableList.toImmutableList());
 
-    assertThat(ShardGroups.ranked(group, left))
-        .containsExactlyElementsOf(before.stream().filter(router -> !router.equals(gone)).toList());
+    assertThat(ShardGroups.ranked(group, remaining))
+        .containsExactlyElementsOf(
+            before.stream().filter(router -> !router.equals(departed)).toList());
   }
 
   @Test
