--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateFailure.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateFailure.java
@@ -12,7 +12,7 @@
   SILENT;
 
   /** Whether servers may have run the search. */
-  boolean maybeRun() {
+  boolean mayHaveRun() {
     return this != UNREACHABLE;
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
@@ -121,8 +121,12 @@
     group.end();
     group.state.suspend(clock.nanoTime());
     transport.cancel(number);
-    log(group, failure.maybeRun() ? "lost" : "declined", failure.logName(), group.shards().size());
-    if (failure.maybeRun()) {
+    log(
+        group,
+        failure.mayHaveRun() ? "lost" : "declined",
+        failure.logName(),
+        group.shards().size());
+    if (failure.mayHaveRun()) {
       group.listener.onLost(group);
     } else {
       group.listener.onDeclined(group);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerChooser.java
@@ -28,15 +28,15 @@
    * Chooses one of the given servers; empty if there are none.
    *
    * @param expectedNanos the usual length of an attempt of this kind
-   * @param otherZoneNanos by how much a server of another zone must be faster to be chosen
+   * @param otherZonePenaltyNanos by how much a server of another zone must be faster to be chosen
    */
   public Optional<ServerState> choose(
-      List<ServerState> servers, long expectedNanos, long otherZoneNanos, long nowNanos) {
+      List<ServerState> servers, long expectedNanos, long otherZonePenaltyNanos, long nowNanos) {
     ServerState best = null;
     double least = Double.MAX_VALUE;
     for (ServerState server : servers) {
       boolean ownZone = server.entry().zone().equals(zone);
-      double cost = cost(server, expectedNanos, nowNanos) + (ownZone ? 0 : otherZoneNanos);
+      double cost = cost(server, expectedNanos, nowNanos) + (ownZone ? 0 : otherZonePenaltyNanos);
       if (cost < least) {
         least = cost;
         best = server;
--- a/arrowarch-core/src/test/java/io/arrowarch/core/server/ServerChooserTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/server/ServerChooserTest.java
@@ -13,7 +13,7 @@
   private static final long EXPECTED_NANOS = Duration.ofMillis(20).toNanos();
 
   /** By how much a server of another zone must be faster to be chosen. */
-  private static final long OTHER_ZONE_NANOS = Duration.ofMillis(30).toNanos();
+  private static final long OTHER_ZONE_PENALTY_NANOS = Duration.ofMillis(30).toNanos();
 
   private static final int CHOICES = 100;
 
@@ -32,7 +32,7 @@
     // Both slots are taken: an attempt waits for half its length here, and not in the other zone.
     open("near", 2);
 
-    assertThat(chosenNear(OTHER_ZONE_NANOS)).isEqualTo(CHOICES);
+    assertThat(chosenNear(OTHER_ZONE_PENALTY_NANOS)).isEqualTo(CHOICES);
   }
 
   @Test
@@ -46,7 +46,7 @@
   public void leavesItsZoneIfItsQueueCostsMoreThanTheOtherZone() {
     open("near", 7);
 
-    assertThat(chosenNear(OTHER_ZONE_NANOS)).isZero();
+    assertThat(chosenNear(OTHER_ZONE_PENALTY_NANOS)).isZero();
   }
 
   @Test
@@ -55,15 +55,18 @@
 
     long later = Duration.ofMillis(100).toNanos();
     assertThat(
-            chooser.choose(servers(), EXPECTED_NANOS, OTHER_ZONE_NANOS, later).orElseThrow().id())
+            chooser
+                .choose(servers(), EXPECTED_NANOS, OTHER_ZONE_PENALTY_NANOS, later)
+                .orElseThrow()
+                .id())
         .isEqualTo("far");
   }
 
-  private int chosenNear(long otherZoneNanos) {
+  private int chosenNear(long otherZonePenaltyNanos) {
     int near = 0;
     for (int i = 0; i < CHOICES; i++) {
       if (chooser
-          .choose(servers(), EXPECTED_NANOS, otherZoneNanos, 0)
+          .choose(servers(), EXPECTED_NANOS, otherZonePenaltyNanos, 0)
           .orElseThrow()
           .id()
           .equals("near")) {
