--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/HandedParts.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegatedParts.java
@@ -5,43 +5,46 @@
 import java.util.List;
 import java.util.Set;
 
-/** The parts of one search that other routers run, and what came of them. */
-final class HandedParts implements Delegator.Listener {
-  /** Routers that are asked for a group, one after the other, before it is run here. */
-  private static final int DELEGATES_TO_ASK = 3;
+/** The parts of one search that are delegated to other routers, and their answers. */
+final class DelegatedParts implements Delegator.Listener {
+  /**
+   * The most rounds of delegation for one search: the first one, then one after each decline. Parts
+   * that are declined after the last round are run here.
+   */
+  private static final int MAXIMUM_ROUNDS = 3;
 
   private final ForwardExecution execution;
   private final List<PartProgress> parts;
-  private final List<Delegator.Handed> groups = new ArrayList<>();
+  private final List<Delegator.DelegatedGroup> groups = new ArrayList<>();
   private final List<ForwardedAnswer.Merged> answers = new ArrayList<>();
-  private int asked;
+  private int rounds;
 
-  HandedParts(ForwardExecution execution, List<PartProgress> parts) {
+  DelegatedParts(ForwardExecution execution, List<PartProgress> parts) {
     this.execution = execution;
     this.parts = parts;
   }
 
-  /** Lets a delegator choose parts and hand them on. */
-  void handOn(Delegator delegator, Delegator.Search search) {
-    asked++;
-    for (Delegator.Handed group : delegator.handOn(search, this)) {
+  /** Delegates the groups of the search that the delegator chooses. */
+  void delegate(Delegator delegator, Delegator.Search search) {
+    rounds++;
+    for (Delegator.DelegatedGroup group : delegator.delegate(search, this)) {
       groups.add(group);
       partsOf(group).forEach(PartProgress::onDelegated);
     }
   }
 
-  /** The merged answers of other routers that are in. */
+  /** The merged answers received from other routers. */
   List<ForwardedAnswer.Merged> answers() {
     return answers;
   }
 
-  /** Makes the other routers stop. */
+  /** Cancels the search on the other routers. */
   void cancel() {
-    groups.forEach(Delegator.Handed::cancel);
+    groups.forEach(Delegator.DelegatedGroup::cancel);
   }
 
   @Override
-  public void onAnswered(Delegator.Handed group, ForwardedAnswer.Merged answer) {
+  public void onAnswered(Delegator.DelegatedGroup group, ForwardedAnswer.Merged answer) {
     if (execution.isFinished()) {
       return;
     }
@@ -55,21 +58,21 @@
   }
 
   @Override
-  public void onDeclined(Delegator.Handed group) {
+  public void onDeclined(Delegator.DelegatedGroup group) {
     if (execution.isFinished()) {
       return;
     }
     List<PartProgress> back = partsOf(group);
     groups.remove(group);
     back.forEach(PartProgress::onDeclined);
-    if (asked < DELEGATES_TO_ASK) {
-      execution.handOn(group.shards());
+    if (rounds < MAXIMUM_ROUNDS) {
+      execution.delegate(group.shards());
     }
     execution.startFirst(back.stream().filter(part -> !part.isDelegated()).toList());
   }
 
   @Override
-  public void onLost(Delegator.Handed group) {
+  public void onLost(Delegator.DelegatedGroup group) {
     if (execution.isFinished()) {
       return;
     }
@@ -78,7 +81,7 @@
     execution.onPartsEnded(0, lost.size());
   }
 
-  private List<PartProgress> partsOf(Delegator.Handed group) {
+  private List<PartProgress> partsOf(Delegator.DelegatedGroup group) {
     Set<String> shards = new HashSet<>(group.shards());
     return parts.stream().filter(part -> shards.contains(part.service())).toList();
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
@@ -65,7 +65,7 @@
   private final TimerLateness lateness = new TimerLateness();
   private final TenantLimiter limiter;
   private final TenantAdmission tenants;
-  private final DelegatedSearches delegatedSearches;
+  private final DelegatedSearchHandler delegatedSearchHandler;
   private final SuspectRequests suspects;
   private final CrashGuard crashGuard;
   private final long startNanos;
@@ -136,8 +136,8 @@
             random,
             events);
     this.crashGuard = new CrashGuard(suspects, this::hasServer, clock, random, refusals);
-    this.delegatedSearches =
-        new DelegatedSearches(
+    this.delegatedSearchHandler =
+        new DelegatedSearchHandler(
             this::configuration,
             tenants,
             suspects,
@@ -252,12 +252,12 @@
   public SearchRole searchRole() {
     ImmutableSet<ImmutableList<String>> gathered = layout.gatheredGroups();
     if (gathered.isEmpty()) {
-      return SearchRole.ALONE;
+      return SearchRole.DIRECT;
     }
     boolean gathers =
         gathered.stream()
             .anyMatch(group -> gatherers.of(group).ownRole() != Gatherers.OwnRole.NONE);
-    return gathers ? SearchRole.GATHERS : SearchRole.HANDS_ON;
+    return gathers ? SearchRole.GATHERER : SearchRole.DELEGATING;
   }
 
   /** Maximum number of attempts that this router may have open at one server of a service. */
@@ -442,7 +442,7 @@
    *     method returns
    */
   public ForwardHandle submitDelegated(DelegatedSearch search, Consumer<DelegateReply> sink) {
-    return delegatedSearches.submit(search, sink);
+    return delegatedSearchHandler.submit(search, sink);
   }
 
   /** Handles the reply of another router to parts that were delegated to it. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardExecution.java
@@ -40,7 +40,7 @@
   private final RequestLog log;
   private final Consumer<Either<QueryError, ForwardedAnswer>> callback;
   private final Hedging hedging;
-  private final HandedParts handedParts;
+  private final DelegatedParts delegatedParts;
   private final List<TimerQueue.Timer> ownTimers = new ArrayList<>();
   private Runnable onEnd = () -> {};
   private boolean started;
@@ -80,7 +80,7 @@
     this.timers = timers;
     this.log = new RequestLog(request, route, version, times, monitor, clock, events);
     this.callback = callback;
-    this.handedParts = new HandedParts(this, parts);
+    this.delegatedParts = new DelegatedParts(this, parts);
     this.hedging =
         new Hedging(this, route, routeState, times.objectiveNanos(), parts, sender, clock, timers);
   }
@@ -161,7 +161,7 @@
   void start() {
     started = true;
     if (route.target() instanceof RouteTarget.AllShards search) {
-      handOn(search.services());
+      delegate(search.services());
     }
     List<PartProgress> own = parts.stream().filter(part -> !part.isDelegated()).toList();
     // A gatherer that runs delegated parts may know servers that this router does not.
@@ -193,11 +193,11 @@
   }
 
   /** Delegates parts to other routers where that helps. */
-  void handOn(ImmutableList<String> shards) {
+  void delegate(ImmutableList<String> shards) {
     if (!mayRun()) {
       return;
     }
-    handedParts.handOn(
+    delegatedParts.delegate(
         delegator,
         new Delegator.Search(request, route, version, times, shards, monitor.isAnswered()));
   }
@@ -250,7 +250,7 @@
     }
     finish("cancelled", "", "the caller has gone");
     parts.forEach(sender::cancelAll);
-    handedParts.cancel();
+    delegatedParts.cancel();
     onEnd.run();
   }
 
@@ -402,7 +402,7 @@
 
   private ForwardedAnswer merged() {
     int limit = ((RouteTarget.AllShards) route.target()).limit();
-    return PartMerger.merge(parts, handedParts.answers(), tally.missing(), limit);
+    return PartMerger.merge(parts, delegatedParts.answers(), tally.missing(), limit);
   }
 
   private void finishWithoutMinimum() {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
@@ -11,29 +11,32 @@
 import java.util.OptionalInt;
 
 /**
- * Which routers gather the parts of wide searches for the others, as this one sees it. They stand
- * in the zones where the shards have servers, so that one merged answer crosses between zones in
- * place of all parts; they are the larger machines there, and so few that their connections to the
- * servers are used often and their code is warm.
+ * The routers that gather the parts of scatter-gather searches for other routers, as this router
+ * sees them. Gatherers are in the zones of the shards' servers, so that one merged answer crosses
+ * zones instead of every part. They are the larger machines of these zones. They are few, so that
+ * their connections to the servers are reused often and their code is compiled.
  */
 final class Gatherers {
   /**
-   * A zone is near the servers unless another has one of so many more of the shards, from 0 to 1.
-   * With less between them the bytes saved are not worth the longer way (docs/rounds/large.md).
+   * A zone counts as near the servers if its share of the shards, from 0 to 1, is at most this much
+   * below the best zone's. For a smaller difference the bytes saved are not worth the longer path.
    */
   private static final double COVERAGE_SLACK = 0.3;
 
   /**
-   * A router that knows servers of fewer of the shards misses news of the store: any other may know
+   * The share of the shards, from 0 to 1, of which a router must know a server. Below it the router
+   * is missing updates from the store and leaves the gathering to any other router, which may know
    * more.
    */
-  private static final double LEAST_KNOWN = 0.5;
+  private static final double MINIMUM_KNOWN_SHARE = 0.5;
 
-  /** Machines of this part of the largest one's processor are as good. */
-  private static final double NEARLY_LARGEST = 0.6;
+  /**
+   * A machine with at least this fraction of the cores of the largest may be a primary gatherer.
+   */
+  private static final double PRIMARY_CORES_FRACTION = 0.6;
 
-  /** How long a choice holds; members and servers change slowly. */
-  private static final Duration LIFE = Duration.ofMillis(200);
+  /** How long a choice is cached; members and servers change slowly. */
+  private static final Duration CACHE_LIFETIME = Duration.ofMillis(200);
 
   private final ForwardOptions options;
   private final RouterGroup routers;
@@ -44,26 +47,26 @@
   private long chosenNanos = Long.MIN_VALUE;
 
   /**
-   * The gatherers of a group that this router would use.
+   * The gatherers that this router would use for a group of shards.
    *
-   * @param first the other routers to hand the group to
-   * @param reserve where none of the first takes it
-   * @param ownRole whether this router is one of them itself
-   * @param sharing how many gatherers of first rank there are in all zones
+   * @param primary the primary gatherers, without this router
+   * @param backup the backup gatherers, for when no primary one is available
+   * @param ownRole whether this router is a gatherer of the group itself
+   * @param primaryCount number of primary gatherers in all zones, at least 1
    */
   record Choice(
-      ImmutableList<NearbyRouter> first,
-      ImmutableList<NearbyRouter> reserve,
+      ImmutableList<NearbyRouter> primary,
+      ImmutableList<NearbyRouter> backup,
       OwnRole ownRole,
-      int sharing) {}
+      int primaryCount) {}
 
-  /** What a router is for a group itself. */
+  /** The role of this router for a group of shards. */
   enum OwnRole {
-    /** Gathers it for others and itself. */
-    FIRST,
-    /** Gathers it where no router of first rank can. */
-    RESERVE,
-    /** Hands it on. */
+    /** Gathers the group for itself and for other routers. */
+    PRIMARY,
+    /** Gathers the group when no primary gatherer is available. */
+    BACKUP,
+    /** Delegates the group. */
     NONE
   }
 
@@ -80,18 +83,21 @@
     this.clock = clock;
   }
 
-  /** How many routers share the servers of a shard, if this one gathers it. */
-  OptionalInt sharing(String shard) {
+  /**
+   * The number of routers that share the servers of a shard; empty unless this router is a primary
+   * gatherer of it.
+   */
+  OptionalInt primaryCount(String shard) {
     Choice choice = of(layout.groupOf(shard));
-    return choice.ownRole() == OwnRole.FIRST
-        ? OptionalInt.of(choice.sharing())
+    return choice.ownRole() == OwnRole.PRIMARY
+        ? OptionalInt.of(choice.primaryCount())
         : OptionalInt.empty();
   }
 
   /** The gatherers of a group of shards. */
   Choice of(ImmutableList<String> group) {
     long nowNanos = clock.nanoTime();
-    if (nowNanos - chosenNanos > LIFE.toNanos()) {
+    if (nowNanos - chosenNanos > CACHE_LIFETIME.toNanos()) {
       choices.clear();
       chosenNanos = nowNanos;
     }
@@ -100,34 +106,39 @@
 
   private Choice choose(ImmutableList<String> group, long nowNanos) {
     Map<String, List<NearbyRouter>> byZone = routersByZone();
-    boolean blind = coverage.known(group, nowNanos) < LEAST_KNOWN;
+    boolean knowsTooFewShards = coverage.known(group, nowNanos) < MINIMUM_KNOWN_SHARE;
     List<String> zones =
-        blind ? ImmutableList.copyOf(byZone.keySet()) : zonesNearServers(group, byZone, nowNanos);
-    double largest = largest(zones, byZone);
+        knowsTooFewShards
+            ? ImmutableList.copyOf(byZone.keySet())
+            : zonesNearServers(group, byZone, nowNanos);
+    double largestCores = largestCores(zones, byZone);
     int allowed = Math.max(1, layout.gatherersAllowed(group.get(0)) / zones.size());
-    boolean near = !blind && zones.contains(options.zone());
-    List<NearbyRouter> first = new ArrayList<>();
-    List<NearbyRouter> reserve = new ArrayList<>();
+    boolean near = !knowsTooFewShards && zones.contains(options.zone());
+    List<NearbyRouter> primary = new ArrayList<>();
+    List<NearbyRouter> backup = new ArrayList<>();
     OwnRole ownRole = OwnRole.NONE;
-    int sharing = 0;
+    int primaryCount = 0;
     for (String zone : zones) {
       ImmutableList<NearbyRouter> ranked = ShardGroups.ranked(group, byZone.get(zone));
       boolean usedFromHere = !near || zone.equals(options.zone());
       for (NearbyRouter router : ranked.subList(0, Math.min(allowed, ranked.size()))) {
-        boolean isFirst = router.cores() >= NEARLY_LARGEST * largest;
-        sharing += isFirst ? 1 : 0;
+        boolean isPrimary = router.cores() >= PRIMARY_CORES_FRACTION * largestCores;
+        primaryCount += isPrimary ? 1 : 0;
         if (router.id().equals(options.id())) {
-          ownRole = isFirst ? OwnRole.FIRST : OwnRole.RESERVE;
+          ownRole = isPrimary ? OwnRole.PRIMARY : OwnRole.BACKUP;
         } else if (usedFromHere) {
-          (isFirst ? first : reserve).add(router);
+          (isPrimary ? primary : backup).add(router);
         }
       }
     }
-    if (blind && !first.isEmpty()) {
+    if (knowsTooFewShards && !primary.isEmpty()) {
       ownRole = OwnRole.NONE;
     }
     return new Choice(
-        ImmutableList.copyOf(first), ImmutableList.copyOf(reserve), ownRole, Math.max(1, sharing));
+        ImmutableList.copyOf(primary),
+        ImmutableList.copyOf(backup),
+        ownRole,
+        Math.max(1, primaryCount));
   }
 
   private Map<String, List<NearbyRouter>> routersByZone() {
@@ -143,7 +154,10 @@
     return new NearbyRouter(options.id(), 0, options.zone(), "", options.cores());
   }
 
-  /** Zones with routers in which about as many of the shards have a server as in any. */
+  /**
+   * The zones with routers whose share of the shards is within {@link #COVERAGE_SLACK} of the best
+   * zone's.
+   */
   private List<String> zonesNearServers(
       ImmutableList<String> group, Map<String, List<NearbyRouter>> byZone, long nowNanos) {
     Map<String, Double> shares = new HashMap<>();
@@ -162,13 +176,13 @@
     return near;
   }
 
-  private static double largest(List<String> zones, Map<String, List<NearbyRouter>> byZone) {
-    double largest = 0;
+  private static double largestCores(List<String> zones, Map<String, List<NearbyRouter>> byZone) {
+    double largestCores = 0;
     for (String zone : zones) {
       for (NearbyRouter router : byZone.get(zone)) {
-        largest = Math.max(largest, router.cores());
+        largestCores = Math.max(largestCores, router.cores());
       }
     }
-    return largest;
+    return largestCores;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
@@ -11,14 +11,16 @@
 import java.util.Map;
 
 /**
- * Hands parts of searches to routers nearer to their servers and follows each group to its end. A
- * group that the delegate has provably not run may be run here; one that it may have run and lost
- * may not, since its second runs would not be within the bounds of extra attempts.
+ * Delegates groups of parts to routers nearer to their servers and tracks each group until it ends.
+ * A group that the delegate has provably not run may be run here. A group that the delegate may
+ * have run must not be: its second runs would not be kept within the limits on extra attempts.
  */
 final class PartDelegator implements Delegator {
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** A delegate answers by the attempts' deadline; one that does not within this is silent. */
+  /**
+   * A delegate answers by the attempts' deadline; after this much more it is taken to be silent.
+   */
   private static final Duration SILENCE_SLACK = Duration.ofMillis(60);
 
   private final RouterClock clock;
@@ -26,7 +28,7 @@
   private final DelegateChooser chooser;
   private final DelegateTransport transport;
   private final EventLog events;
-  private final DelegationOverheadEstimate way = new DelegationOverheadEstimate();
+  private final DelegationOverheadEstimate overhead = new DelegationOverheadEstimate();
   private final Map<Long, Group> groups = new HashMap<>();
   private long nextNumber = 1;
 
@@ -44,7 +46,7 @@
   }
 
   @Override
-  public ImmutableList<Handed> handOn(Search search, Listener listener) {
+  public ImmutableList<DelegatedGroup> delegate(Search search, Listener listener) {
     ImmutableList<DelegateChooser.Choice> choices =
         chooser.choose(search.shards(), search.route(), clock.nanoTime());
     return choices.stream()
@@ -52,21 +54,20 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  private Handed send(Search search, DelegateChooser.Choice choice, Listener listener) {
+  private DelegatedGroup send(Search search, DelegateChooser.Choice choice, Listener listener) {
     long nowNanos = clock.nanoTime();
     long number = nextNumber++;
     DelegateState state = chooser.state(choice.delegate());
     RequestTimes times = search.times();
-    long silentNanos =
-        Math.min(
-            times.responseDeadlineNanos(), times.attemptDeadlineNanos() + SILENCE_SLACK.toNanos());
+    long silenceDeadlineNanos =
+        Math.min(times.responseDeadlineNanos(), times.attemptDeadlineNanos() + SILENCE_SLACK.toNanos());
     TimerQueue.Timer silence =
-        timers.schedule(silentNanos, () -> onFailure(number, DelegateFailure.SILENT));
+        timers.schedule(silenceDeadlineNanos, () -> onFailure(number, DelegateFailure.SILENT));
     Group group = new Group(number, search, choice, state, listener, silence);
     groups.put(number, group);
     state.onSent(number, nowNanos);
-    // The answer must be back before it is due here.
-    long kept = way.nanos(search.route().objective());
+    // The delegate gets less time, so that its answer arrives before the deadline here.
+    long reservedNanos = overhead.nanos(search.route().objective());
     transport.send(
         number,
         choice.delegate(),
@@ -74,20 +75,20 @@
             search.request(),
             search.version(),
             partsOf(search, choice),
-            Duration.ofNanos(Math.max(1, times.responseDeadlineNanos() - nowNanos - kept)),
-            Duration.ofNanos(times.objectiveNanos() - nowNanos - kept),
+            Duration.ofNanos(Math.max(1, times.responseDeadlineNanos() - nowNanos - reservedNanos)),
+            Duration.ofNanos(times.objectiveNanos() - nowNanos - reservedNanos),
             search.isProven()));
     return group;
   }
 
-  /** Of a group, the same part must be covered as of the whole. */
+  /** The minimum coverage of the whole search also applies to each group. */
   private static RouteTarget.AllShards partsOf(Search search, DelegateChooser.Choice choice) {
-    // Only searches are handed on.
+    // Only searches are delegated.
     RouteTarget.AllShards all = (RouteTarget.AllShards) search.route().target();
     return new RouteTarget.AllShards(choice.shards(), all.limit(), all.minimumCoverage());
   }
 
-  /** Takes a delegate's reply. */
+  /** Handles a delegate's reply; ignores it if the group has ended already. */
   void onReply(long number, DelegateReply reply) {
     Group group = groups.remove(number);
     if (group == null) {
@@ -96,9 +97,9 @@
     group.end();
     long nowNanos = clock.nanoTime();
     if (reply instanceof DelegateReply.Answered answered) {
-      long cost = Math.max(0, nowNanos - group.startNanos - answered.took().toNanos());
-      way.record(cost);
-      group.state.onAnswered(cost, answered.inProgress(), nowNanos);
+      long overheadNanos = Math.max(0, nowNanos - group.startNanos - answered.took().toNanos());
+      overhead.record(overheadNanos);
+      group.state.onAnswered(overheadNanos, answered.inProgress(), nowNanos);
       log(group, "answered", "", answered.answer().missingParts());
       group.listener.onAnswered(group, answered.answer());
     } else if (reply instanceof DelegateReply.Declined declined) {
@@ -111,7 +112,7 @@
     }
   }
 
-  /** Takes the end of a group without a reply. */
+  /** Handles the end of a group without a reply; ignores it if the group has ended already. */
   void onFailure(long number, DelegateFailure failure) {
     Group group = groups.remove(number);
     if (group == null) {
@@ -120,8 +121,12 @@
     group.end();
     group.state.suspend(clock.nanoTime());
     transport.cancel(number);
-    log(group, failure.maybeRun() ? "lost" : "declined", failure.logName(), group.shards().size());
-    if (failure.maybeRun()) {
+    log(
+        group,
+        failure.mayHaveRun() ? "lost" : "declined",
+        failure.logName(),
+        group.shards().size());
+    if (failure.mayHaveRun()) {
       group.listener.onLost(group);
     } else {
       group.listener.onDeclined(group);
@@ -141,8 +146,8 @@
             (clock.nanoTime() - group.startNanos) / NANOS_PER_MILLI));
   }
 
-  /** Parts at a delegate. */
-  private final class Group implements Handed {
+  /** A group of parts that a delegate is running. */
+  private final class Group implements DelegatedGroup {
     private final long number;
     private final Search search;
     private final DelegateChooser.Choice choice;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchRole.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchRole.java
@@ -1,11 +1,11 @@
 package io.arrowarch.core.forward;
 
-/** What a router is for the searches of its fleet. */
+/** The role of a router in the searches of its fleet. */
 public enum SearchRole {
-  /** Every router asks all servers itself. */
-  ALONE,
-  /** Gathers searches for others, or would where those of first rank fail. */
-  GATHERS,
-  /** Hands searches on. */
-  HANDS_ON
+  /** Queries all servers itself, as every router does. */
+  DIRECT,
+  /** Gathers searches for other routers, as a primary or a backup gatherer. */
+  GATHERER,
+  /** Delegates searches to gatherers. */
+  DELEGATING
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerChooser.java
@@ -4,13 +4,16 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** Chooses the server that is likely to answer first. */
+/** Chooses the server with the shortest estimated time to answer. */
 public final class ServerChooser {
-  /** Of two servers with free slots, the one with less work is a little better. */
-  private static final double COST_OF_LOAD = 0.15;
+  /**
+   * Cost of each request at a server, as a fraction of the expected length. Slightly favours the
+   * less loaded of two servers with free slots.
+   */
+  private static final double LOAD_COST_FRACTION = 0.15;
 
-  /** Spreads choices between equals. */
-  private static final double RANDOM_PART = 0.1;
+  /** Range of the random cost, as a fraction of the expected length; spreads load over equals. */
+  private static final double RANDOM_COST_FRACTION = 0.1;
 
   private final String zone;
   private final RandomGenerator random;
@@ -22,18 +25,18 @@
   }
 
   /**
-   * The best of some servers.
+   * Chooses one of the given servers; empty if there are none.
    *
    * @param expectedNanos the usual length of an attempt of this kind
-   * @param otherZoneNanos by how much a server of another zone must be faster to be chosen
+   * @param otherZonePenaltyNanos by how much a server of another zone must be faster to be chosen
    */
   public Optional<ServerState> choose(
-      List<ServerState> servers, long expectedNanos, long otherZoneNanos, long nowNanos) {
+      List<ServerState> servers, long expectedNanos, long otherZonePenaltyNanos, long nowNanos) {
     ServerState best = null;
     double least = Double.MAX_VALUE;
     for (ServerState server : servers) {
       boolean ownZone = server.entry().zone().equals(zone);
-      double cost = cost(server, expectedNanos, nowNanos) + (ownZone ? 0 : otherZoneNanos);
+      double cost = cost(server, expectedNanos, nowNanos) + (ownZone ? 0 : otherZonePenaltyNanos);
       if (cost < least) {
         least = cost;
         best = server;
@@ -42,16 +45,17 @@
     return Optional.ofNullable(best);
   }
 
-  /** When a server would answer, in nanoseconds, with a random part. */
+  /** The estimated time until a server would answer, in nanoseconds, with a random addition. */
   private double cost(ServerState server, long expectedNanos, long nowNanos) {
     double work = expectedNanos * server.slowness(nowNanos);
     double load = server.load(nowNanos);
     int slots = Math.max(1, server.entry().slots());
     double waiting = Math.max(0, load + 1 - slots) / slots;
-    // A server that has stood still for some time is likely to do so for as long again.
+    // A stalled server is likely to stay stalled for as long again.
     long stalled = server.stalledNanos(nowNanos);
     double stallCost = stalled == 0 ? 0 : 2.0 * expectedNanos + stalled;
-    double even = expectedNanos * (COST_OF_LOAD * load + RANDOM_PART * random.nextDouble());
-    return work * (1 + waiting) + stallCost + even;
+    double tieBreak =
+        expectedNanos * (LOAD_COST_FRACTION * load + RANDOM_COST_FRACTION * random.nextDouble());
+    return work * (1 + waiting) + stallCost + tieBreak;
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/GatherersTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/GatherersTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Which routers gather the parts of wide searches. */
+/** The choice of the routers that gather the parts of wide searches. */
 public final class GatherersTest {
   private static final ImmutableList<String> SHARDS = ImmutableList.of("s1", "s2", "s3", "s4");
   private static final int ROUTERS = 95;
@@ -36,68 +36,68 @@
   }
 
   @Test
-  public void theyStandInTheZonesOfTheServers() {
+  public void gatherersAreInTheZonesOfTheServers() {
     add("a", "near-1", 1);
     add("b", "near-2", 1);
     add("c", "far", 1);
 
-    assertThat(first("far")).containsExactlyInAnyOrder("a", "b");
+    assertThat(primary("far")).containsExactlyInAnyOrder("a", "b");
   }
 
   @Test
-  public void thoseOfTheOwnZoneAreUsedWhereItHasTheServers() {
+  public void aRouterNearTheServersUsesTheGatherersOfItsZone() {
     add("a", "near-1", 1);
     add("b", "near-2", 1);
 
-    assertThat(first("near-1")).containsExactly("a");
+    assertThat(primary("near-1")).containsExactly("a");
   }
 
   @Test
-  public void theyAreTheLargerMachines() {
+  public void largerMachinesArePrimaryGatherers() {
     add("small-1", "near-1", 0.4);
     add("large-1", "near-1", 1.5);
     add("small-2", "near-2", 0.4);
     add("large-2", "near-2", 1.5);
     Gatherers.Choice choice = choose("far", 0.4);
 
-    assertThat(ids(choice.first())).containsExactlyInAnyOrder("large-1", "large-2");
-    assertThat(ids(choice.reserve())).containsExactlyInAnyOrder("small-1", "small-2");
-    assertThat(choice.sharing()).isEqualTo(2);
+    assertThat(ids(choice.primary())).containsExactlyInAnyOrder("large-1", "large-2");
+    assertThat(ids(choice.backup())).containsExactlyInAnyOrder("small-1", "small-2");
+    assertThat(choice.primaryCount()).isEqualTo(2);
   }
 
   @Test
-  public void theyAreNoMoreThanTheServersHaveConnectionsFor() {
+  public void theConnectionsOfTheServersLimitTheGatherers() {
     for (int number = 0; number < 20; number++) {
       add("router-" + number, number % 2 == 0 ? "near-1" : "near-2", 1);
     }
 
-    // 18 connections, two thirds of them used, two a gatherer: six.
-    assertThat(first("far")).hasSize(6);
+    // Two thirds of the 18 connections are used, two per gatherer: six gatherers.
+    assertThat(primary("far")).hasSize(6);
   }
 
   @Test
-  public void aLargeMachineBesideTheServersGathersItself() {
+  public void aLargeMachineNearTheServersGathersItself() {
     add("a", "near-1", 0.4);
     Gatherers.Choice choice = choose("near-1", 1.5);
 
-    assertThat(choice.ownRole()).isEqualTo(Gatherers.OwnRole.FIRST);
-    assertThat(ids(choice.reserve())).containsExactly("a");
+    assertThat(choice.ownRole()).isEqualTo(Gatherers.OwnRole.PRIMARY);
+    assertThat(ids(choice.backup())).containsExactly("a");
   }
 
   @Test
-  public void aSmallMachineBesideALargeOneIsItsReserve() {
+  public void aSmallMachineNextToALargeOneIsABackup() {
     add("a", "near-1", 1.5);
 
-    assertThat(choose("near-1", 0.4).ownRole()).isEqualTo(Gatherers.OwnRole.RESERVE);
+    assertThat(choose("near-1", 0.4).ownRole()).isEqualTo(Gatherers.OwnRole.BACKUP);
   }
 
   @Test
-  public void withoutRoutersBesideTheServersThisOneGathersItself() {
-    assertThat(choose("far", 1).ownRole()).isEqualTo(Gatherers.OwnRole.FIRST);
+  public void withoutRoutersNearTheServersThisOneGathersItself() {
+    assertThat(choose("far", 1).ownRole()).isEqualTo(Gatherers.OwnRole.PRIMARY);
   }
 
   @Test
-  public void aRouterThatMissesMostServersGathersNothingItself() {
+  public void aRouterThatKnowsTooFewServersDoesNotGather() {
     for (String shard : SHARDS.subList(0, 3)) {
       directory.onGone(shard + "-near-1", clock.nanoTime());
       directory.onGone(shard + "-near-2", clock.nanoTime());
@@ -107,7 +107,7 @@
     Gatherers.Choice choice = choose("near-1", 1.5);
 
     assertThat(choice.ownRole()).isEqualTo(Gatherers.OwnRole.NONE);
-    assertThat(ids(choice.first())).containsExactly("a");
+    assertThat(ids(choice.primary())).containsExactly("a");
   }
 
   @Test
@@ -117,11 +117,11 @@
     add("a", "near-1", 1);
     add("b", "half", 1);
 
-    assertThat(first("half")).containsExactly("a");
+    assertThat(primary("half")).containsExactly("a");
   }
 
-  private List<String> first(String ownZone) {
-    return ids(choose(ownZone, 1).first());
+  private List<String> primary(String ownZone) {
+    return ids(choose(ownZone, 1).primary());
   }
 
   private static List<String> ids(List<NearbyRouter> routers) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ShardGroupsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ShardGroupsTest.java
@@ -10,6 +10,10 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
+/**
+ * Groups of shards and the ranking of routers. Routers that rank differently, or reorder the others
+ * when one leaves, would spread a group over too many gatherers.
+ */
 public final class ShardGroupsTest {
   private static final int GROUPS = 4;
 
@@ -23,22 +27,23 @@
   }
 
   @Test
-  public void aRouterThatGoesMovesNoOther() {
+  public void aRouterThatLeavesDoesNotReorderTheOthers() {
     ImmutableList<String> group = names("shard", 20);
     ImmutableList<NearbyRouter> routers = routers(20);
     ImmutableList<NearbyRouter> before = ShardGroups.ranked(group, routers);
-    NearbyRouter gone = before.get(3);
-    ImmutableList<NearbyRouter> left =
+    NearbyRouter departed = before.get(3);
+    ImmutableList<NearbyRouter> remaining =
         routers.stream()
-            .filter(router -> !router.equals(gone))
+            .filter(router -> !router.equals(departed))
             .collect(ImmutableList.toImmutableList());
 
-    assertThat(ShardGroups.ranked(group, left))
-        .containsExactlyElementsOf(before.stream().filter(router -> !router.equals(gone)).toList());
+    assertThat(ShardGroups.ranked(group, remaining))
+        .containsExactlyElementsOf(
+            before.stream().filter(router -> !router.equals(departed)).toList());
   }
 
   @Test
-  public void theOrderInWhichRoutersAreKnownMakesNoDifference() {
+  public void theOrderOfTheInputDoesNotMatter() {
     ImmutableList<String> group = names("shard", 20);
     ImmutableList<NearbyRouter> routers = routers(20);
 
@@ -58,7 +63,7 @@
   }
 
   @Test
-  public void noRouterGathersMostGroups() {
+  public void groupsAreSpreadOverTheRouters() {
     ImmutableList<NearbyRouter> routers = routers(20);
     Map<NearbyRouter, Integer> gathered = new HashMap<>();
     for (ImmutableList<String> group : ShardGroups.split(names("shard", 400), 40)) {
@@ -67,7 +72,7 @@
       }
     }
 
-    // 40 groups by 5 gatherers over 20 routers: 10 each.
+    // 40 groups with 5 gatherers each over 20 routers: 10 per router on average.
     assertThat(gathered.values()).allMatch(groups -> groups >= 3 && groups <= 18);
   }
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/server/ServerStateTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/server/ServerStateTest.java
@@ -9,10 +9,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/**
+ * What a router concludes about a server from its entry, its load reports and the ends of attempts:
+ * suspension, stalls, slowness, load and the last resort.
+ */
 public final class ServerStateTest {
   private static final Duration LAST_RESORT = Duration.ofSeconds(3);
 
-  private static final long EXPECTED = Duration.ofMillis(40).toNanos();
+  private static final long EXPECTED_NANOS = Duration.ofMillis(40).toNanos();
 
   private FakeClock clock;
   private ServerDirectory directory;
@@ -44,14 +48,14 @@
     clock.advance(Duration.ofMillis(300));
     assertThat(usable()).containsExactly("b");
     clock.advance(Duration.ofMillis(300));
-    end(start("a"), "a", AttemptVerdict.SOUND);
+    end(start("a"), "a", AttemptVerdict.ANSWERED);
     end(start("a"), "a", AttemptVerdict.UNREACHABLE);
     clock.advance(Duration.ofMillis(300));
     assertThat(usable()).containsExactly("a", "b");
   }
 
   @Test
-  public void oneBrokenAnswerSuspendsNobody() {
+  public void oneFailureDoesNotSuspendAServer() {
     end(start("a"), "a", AttemptVerdict.FAILED);
     assertThat(usable()).containsExactly("a", "b");
     end(start("a"), "a", AttemptVerdict.FAILED);
@@ -64,19 +68,19 @@
     clock.advance(Duration.ofMillis(300));
     long trial = start("a");
     assertThat(usable()).containsExactly("b");
-    end(trial, "a", AttemptVerdict.SOUND);
+    end(trial, "a", AttemptVerdict.ANSWERED);
     assertThat(usable()).containsExactly("a", "b");
   }
 
   @Test
-  public void whereAllAreSuspendedTheyAreUsed() {
+  public void suspendedServersAreUsedIfThereAreNoOthers() {
     end(start("a"), "a", AttemptVerdict.UNREACHABLE);
     end(start("b"), "b", AttemptVerdict.UNREACHABLE);
     assertThat(usable()).containsExactly("a", "b");
   }
 
   @Test
-  public void anAttemptOpenForLongSaysThatTheServerStandsStill() {
+  public void aLongOpenAttemptShowsThatTheServerIsStalled() {
     start("a");
     clock.advance(Duration.ofMillis(100));
     assertThat(state("a").stalledNanos(clock.nanoTime())).isZero();
@@ -88,7 +92,7 @@
   @Test
   public void slownessIsMeasuredAndForgotten() {
     for (int i = 0; i < 20; i++) {
-      directory.onEnded("a", start("a"), AttemptVerdict.SOUND, 7, clock.nanoTime());
+      directory.onEnded("a", start("a"), AttemptVerdict.ANSWERED, 7, clock.nanoTime());
     }
     assertThat(state("a").slowness(clock.nanoTime())).isCloseTo(7, within(0.1));
     clock.advance(Duration.ofSeconds(40));
@@ -96,7 +100,7 @@
   }
 
   @Test
-  public void aColdServerIsTakenToBeSlow() {
+  public void aColdServerCountsAsSlow() {
     directory.onEntry(
         new ServerEntry("c", "s", "10.0.0.3:80", "z", 2, false, Duration.ofSeconds(3)),
         clock.nanoTime());
@@ -106,9 +110,10 @@
   }
 
   @Test
-  public void loadIsOwnAttemptsAndTheFreshPartOfOthers() {
+  public void loadIsOwnAttemptsAndAFadingShareOfOthers() {
     start("a");
-    directory.onReport("a", new LoadReport(2, 3, 2, LoadReport.USUAL), clock.nanoTime());
+    directory.onReport(
+        "a", new LoadReport(2, 3, 2, LoadReport.USUAL_WORK_FACTOR), clock.nanoTime());
     assertThat(state("a").load(clock.nanoTime())).isEqualTo(5);
     clock.advance(Duration.ofMillis(200));
     assertThat(state("a").load(clock.nanoTime())).isCloseTo(3, within(0.01));
@@ -117,7 +122,7 @@
   }
 
   @Test
-  public void aServerThatSaysThatWorkTakesLongIsSlowForAMoment() {
+  public void aReportedWorkFactorSlowsTheServerForAShortTime() {
     directory.onReport("a", new LoadReport(0, 0, 2, 3), clock.nanoTime());
     assertThat(state("a").slowness(clock.nanoTime())).isEqualTo(3);
     clock.advance(Duration.ofMillis(500));
@@ -125,16 +130,16 @@
   }
 
   @Test
-  public void whatTookLongOnABusyMachineIsNotRememberedOfTheServer() {
+  public void latencyThatTheWorkFactorExplainsIsNotRemembered() {
     long attempt = start("a");
     directory.onReport("a", new LoadReport(0, 0, 2, 4), clock.nanoTime());
-    directory.onEnded("a", attempt, AttemptVerdict.SOUND, 4, clock.nanoTime());
+    directory.onEnded("a", attempt, AttemptVerdict.ANSWERED, 4, clock.nanoTime());
     clock.advance(Duration.ofMillis(500));
     assertThat(state("a").slowness(clock.nanoTime())).isCloseTo(1, within(0.01));
   }
 
   @Test
-  public void aLeavingServerIsALastResortForAMomentOnly() {
+  public void serversWithoutEntriesAreUsedForTheLastResortTimeOnly() {
     directory.onGone("a", clock.nanoTime());
     directory.onGone("b", clock.nanoTime());
     assertThat(usable()).containsExactly("a", "b");
@@ -143,7 +148,7 @@
   }
 
   @Test
-  public void aServerThatMayHaveBeenLeavingForLongIsNoLastResort() {
+  public void aServerThatMayHaveLeftLongAgoIsNoLastResort() {
     long nowNanos = clock.nanoTime();
     long longAgo = nowNanos - LAST_RESORT.toNanos();
     directory.onEntry(draining("a"), longAgo, nowNanos);
@@ -156,7 +161,7 @@
   }
 
   @Test
-  public void aServerWhoseEntryHasJustGoneIsUsedBesideTheOthers() {
+  public void aServerWhoseEntryWasJustRemovedIsUsedBesideOthers() {
     directory.onGone("a", clock.nanoTime());
     assertThat(usable()).containsExactlyInAnyOrder("a", "b");
     clock.advance(LAST_RESORT);
@@ -165,7 +170,7 @@
   }
 
   @Test
-  public void aServerThatSaysThatItLeavesIsNotUsedBesideOthers() {
+  public void aDrainingServerIsNotUsedBesideOthers() {
     directory.onDraining("a", clock.nanoTime());
 
     assertThat(usable()).containsExactly("b");
@@ -179,7 +184,7 @@
   }
 
   @Test
-  public void anEntryThatComesBackIsUsedAgain() {
+  public void aServerWhoseEntryReturnsIsUsedAgain() {
     directory.onGone("a", clock.nanoTime());
     clock.advance(LAST_RESORT);
     assertThat(usable()).containsExactly("b");
@@ -197,7 +202,7 @@
 
   private long start(String id) {
     long attempt = nextAttempt++;
-    directory.onStarted(id, attempt, clock.nanoTime(), EXPECTED);
+    directory.onStarted(id, attempt, clock.nanoTime(), EXPECTED_NANOS);
     return attempt;
   }
 
