--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ColdServerLimits.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ColdServerLimits.java
@@ -11,12 +11,12 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Keeps this router's part of what a cold server bears: one that gets much more falls over. Each
- * router takes an even share of the bound; one whose share is below one request a second sends one
- * in as many seconds as that takes.
+ * Limits the rate at which this router sends requests to a cold server, which fails under a much
+ * higher rate than it can bear. The routers share the limit evenly. A router whose share is below
+ * one request per second sends one request in a correspondingly longer window.
  */
 final class ColdServerLimits {
-  /** Routers count each other a moment apart, and what is sent in one second arrives in another. */
+  /** Routers learn of each other at different times, and requests may arrive a second later. */
   private static final double SAFETY = 0.7;
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -27,9 +27,9 @@
   private Optional<RoutingConfiguration> configuration = Optional.empty();
 
   /**
-   * Creates limits of no configuration.
+   * Creates limits without a configuration, which admit every request.
    *
-   * @param share the part of a service's bound that is this router's, from 0 to 1
+   * @param share this router's fraction of the limit of a service, from 0 to 1
    */
   ColdServerLimits(ColdServerRules rules, ToDoubleFunction<String> share) {
     this.rules = rules;
@@ -40,7 +40,7 @@
     configuration = Optional.of(updated);
   }
 
-  /** Whether a server is warm, or bears one more request of this router now. */
+  /** Whether this router may send a request to a server now; always true for a warm server. */
   boolean admits(ServerState server, long nowNanos) {
     if (!server.isCold(nowNanos)) {
       sentByServer.remove(server.id());
@@ -54,14 +54,14 @@
     return own > 0 && count(server, windowNanos(own), nowNanos) < Math.max(1, Math.floor(own));
   }
 
-  /** Notes a request to a server. */
+  /** Records that a request was sent to a server. */
   void onSent(ServerState server, long nowNanos) {
     if (server.isCold(nowNanos) && rateOf(server.entry().service()) > 0) {
       sentByServer.computeIfAbsent(server.id(), id -> new ArrayDeque<>()).addLast(nowNanos);
     }
   }
 
-  /** The time in which this router may send a whole number of requests. */
+  /** The window in which requests are counted: a second, or longer so that one request fits. */
   private static double windowNanos(double requestsPerSecond) {
     return requestsPerSecond < 1 ? NANOS_PER_SECOND / requestsPerSecond : NANOS_PER_SECOND;
   }
@@ -77,7 +77,7 @@
     return sent.size();
   }
 
-  /** Requests a second that a cold server of a service bears; 0 where none is told. */
+  /** Requests per second that a cold server of a service can bear; 0 if not configured. */
   private double rateOf(String service) {
     return configuration
         .flatMap(known -> Optional.ofNullable(known.services().get(service)))
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ColdServerRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ColdServerRules.java
@@ -1,22 +1,22 @@
 package io.arrowarch.core.forward;
 
 /**
- * By how much all routers together may go beyond the requests a second that a cold server bears.
+ * How far all routers together may exceed the request rate configured for a cold server.
  *
- * @param overshoot multiple of the rate that the configuration tells of a service
- * @param slack requests a second beside that
+ * @param overshoot factor by which the configured rate is multiplied
+ * @param slack requests per second added to the product
  */
 public record ColdServerRules(double overshoot, double slack) {
-  /** Where no bound is told: the rate itself. */
+  /** Allows exactly the configured rate. */
   public static final ColdServerRules EXACT = new ColdServerRules(1, 0);
 
   public ColdServerRules {
     if (!(overshoot >= 0) || !(slack >= 0)) {
-      throw new IllegalArgumentException("a bound of cold servers is below 0");
+      throw new IllegalArgumentException("overshoot and slack of cold servers must be 0 or more");
     }
   }
 
-  /** Requests that a cold server may get in any second. */
+  /** The most requests that a cold server may get in any second. */
   double mostInASecond(double rate) {
     return rate * overshoot + slack;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ConnectionShares.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ConnectionShares.java
@@ -4,21 +4,23 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.IntSupplier;
 
-/** How routers share the connections that servers take, and the allowance of extra attempts. */
+/**
+ * This router's share of the connections that servers accept, and of the extra attempts allowed.
+ */
 final class ConnectionShares {
-  /** A router that has just started takes half: servers may hold connections of its last life. */
+  /** Servers may still hold connections of a restarted router's previous process. */
   private static final int YOUNG_DIVISOR = 2;
 
-  /** With one connection to a server, searches that overlap would wait for each other. */
+  /** With one connection to a server, concurrent searches would wait for each other. */
   private static final int FEWEST_OF_GATHERER = 2;
 
-  /** More attempts at one server would only wait there. */
+  /** More attempts at one server would only queue there. */
   private static final int MAXIMUM_OPEN = 8;
 
-  /** Routers see a gatherer come or go a moment apart; so many more are taken to share. */
+  /** Added to the known gatherers: routers do not learn of a new one at the same time. */
   private static final int UNSEEN_GATHERERS = 2;
 
-  /** By how many times more routers may be there than one that has just started knows. */
+  /** There may be this many times more routers than a recently started one has heard of. */
   private static final int UNSEEN_WHILE_YOUNG = 8;
 
   private final SearchLayout layout;
@@ -27,10 +29,10 @@
   private final BooleanSupplier young;
 
   /**
-   * Creates shares.
+   * Creates the shares of one router.
    *
-   * @param routers how many share servers
-   * @param young whether this router has just started
+   * @param routers the number of routers that share the servers
+   * @param young whether this router has started recently
    */
   ConnectionShares(
       SearchLayout layout, Gatherers gatherers, IntSupplier routers, BooleanSupplier young) {
@@ -40,7 +42,7 @@
     this.young = young;
   }
 
-  /** Attempts that this router may have open at one server of a service. */
+  /** How many attempts this router may have open at one server of a service. */
   int share(String service) {
     OptionalInt gathering =
         layout.isGathered(service) ? gatherers.sharing(service) : OptionalInt.empty();
@@ -54,8 +56,9 @@
   }
 
   /**
-   * The part of what a cold server of a service bears that is this router's, from 0 to 1. A router
-   * that has just started may not have heard of most others.
+   * This router's fraction, from 0 to 1, of the request rate allowed for a cold server of a
+   * service. The fraction is smaller for a recently started router, which may not have heard of
+   * most others.
    */
   double coldServerPart(String service) {
     OptionalInt gathering =
@@ -68,8 +71,8 @@
   }
 
   /**
-   * The part of a service's allowance of extra attempts that is this router's, from 0 to 1. Of a
-   * shard that others gather it has none.
+   * This router's fraction, from 0 to 1, of a service's allowance of extra attempts. It is 0 for a
+   * shard whose parts other routers gather.
    */
   double allowancePart(String service) {
     if (!layout.isGathered(service)) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardingRouter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardingRouter.java
@@ -25,12 +25,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The decisions of a router that passes requests on as they come. Configuration and servers come
- * from the platform's store; the store's answer is the acknowledgement, so that no agreement among
- * routers is needed. Within the life of a process the configuration never goes back.
+ * The logic of a router that forwards requests to servers. It reads its configuration and the
+ * servers from the platform's store. The store's answer acknowledges a write, so the routers need
+ * no consensus among themselves. While a process runs, it never returns to an earlier configuration
+ * version.
  *
  * <p>Not thread-safe: the owner serialises all calls, and calls {@link #runTimers} no later than
- * {@link #nextTimerNanos} says.
+ * the time that {@link #nextTimerNanos} returns.
  */
 public final class ForwardingRouter implements FeedListener {
   private final RouterClock clock;
@@ -39,8 +40,9 @@
   private final RouterGroup group;
 
   /**
-   * The part of the time within which a leaving server must get nothing more for which it is still
-   * used where its service has no other. The rest is for the way of the news.
+   * A server that is leaving must get no more requests after a set time. If its service has no
+   * other server, it is used for this fraction of that time; the rest allows for the delay until
+   * the router hears that the server is leaving.
    */
   private static final int LAST_RESORT_DIVISOR = 2;
 
@@ -53,9 +55,9 @@
   private long malformedEntries;
 
   /**
-   * Creates a router that knows nothing yet.
+   * Creates a router with no configuration and no servers. {@link #start} begins to read the store.
    *
-   * @param group the other routers
+   * @param group the routers that share the servers with this one
    */
   public ForwardingRouter(
       ForwardOptions options,
@@ -95,19 +97,19 @@
         new ServerFeed(directory, clock, events, server -> coordinator.onServerEnded(server));
   }
 
-  /** Starts to read the store. */
+  /** Starts reading the store. */
   public void start() {
     follower.start();
     coordinator.start();
   }
 
-  /** See {@link ForwardCoordinator#submit}. */
+  /** Forwards a request; see {@link ForwardCoordinator#submit}. */
   public ForwardHandle submit(
       ForwardedRequest request, Consumer<Either<QueryError, ForwardedAnswer>> sink) {
     return coordinator.submit(request, sink);
   }
 
-  /** Runs a search for another router; a router that stops declines it. */
+  /** Runs a search for another router, or declines it if this router is stopping. */
   public ForwardHandle submitDelegated(DelegatedSearch search, Consumer<DelegateReply> sink) {
     if (stopping) {
       sink.accept(new DelegateReply.Declined("the router is stopping"));
@@ -116,22 +118,22 @@
     return coordinator.submitDelegated(search, sink);
   }
 
-  /** The part that attempts report to. */
+  /** Receives the results of attempts. */
   public ForwardCoordinator coordinator() {
     return coordinator;
   }
 
-  /** The part that calls of the store report to. */
+  /** Receives the results of calls to the store. */
   public StoreFollower follower() {
     return follower;
   }
 
-  /** The servers that this router knows. */
+  /** The known servers. */
   public ServerDirectory directory() {
     return directory;
   }
 
-  /** Entries of the store that were not what their keys are for, since the start. */
+  /** How many store entries could not be read as what their keys stand for, since the start. */
   public long malformedEntries() {
     return malformedEntries;
   }
@@ -141,7 +143,7 @@
     return coordinator.configuration();
   }
 
-  /** Whether new connections of callers are welcome. */
+  /** Whether the router should get new connections from callers. */
   public boolean isReady() {
     return !stopping
         && coordinator.configuration().isPresent()
@@ -150,15 +152,15 @@
   }
 
   /**
-   * Whether callers are better off elsewhere: this router's view is too old for their keys, and it
-   * hears no other router. Where it does, the others' views are no younger, and somebody must serve
-   * public routes.
+   * Whether callers should use another router: this router's view of the store is too old to accept
+   * API keys, and no other router can be reached. If others can be reached, their views are as old
+   * as this one's, and some router must serve the public routes.
    */
   private boolean isWorseThanOthers() {
     return coordinator.isClosedToKeys() && group.hasOthers() && group.nearby().isEmpty();
   }
 
-  /** A planned stop begins: not ready from now on, but requests are still taken. */
+  /** Begins a planned stop: the router is no longer ready, but still accepts requests. */
   public void onStopping() {
     stopping = true;
   }
@@ -168,12 +170,12 @@
     return stopping;
   }
 
-  /** Runs what is due. */
+  /** Runs the timers that are due. */
   public void runTimers() {
     timers.runDue(clock.nanoTime());
   }
 
-  /** When {@link #runTimers} must be called next. */
+  /** The clock's time at which {@link #runTimers} must be called next; empty if no timer is set. */
   public OptionalLong nextTimerNanos() {
     return timers.nextDueNanos();
   }
@@ -183,7 +185,7 @@
     if (entry instanceof FeedEntry.Configuration written) {
       onConfiguration(written.configuration(), revision);
     } else if (entry instanceof FeedEntry.Server written) {
-      // The first listing has one line in all: hundreds would take a good part of a start.
+      // The first listing is logged as one line: hundreds of lines would slow down the start.
       boolean isLogged = follower.view().isComplete();
       long sinceNanos = follower.view().changedSinceNanos();
       serverFeed.onWritten(key, written.entry(), sinceNanos, revision, isLogged);
@@ -238,12 +240,13 @@
 
   @Override
   public void onHistoryGone(StoreRevision revision) {
-    logStore("history gone", "the store cannot go on from this revision", revision);
+    logStore("history gone", "the store no longer has the changes after this revision", revision);
   }
 
   @Override
   public void onNewEra(StoreRevision from, StoreRevision to) {
-    String known = "era %d, revision %d was known".formatted(from.era(), from.number());
+    String known =
+        "the last known revision was era %d, revision %d".formatted(from.era(), from.number());
     logStore("older", known, to);
   }
 
@@ -260,7 +263,8 @@
 
   @Override
   public void onPeerListingFailed() {
-    logStore("lost", "another router gave no listing", StoreRevision.NONE);
+    logStore(
+        "lost", "another router did not answer the request for its listing", StoreRevision.NONE);
   }
 
   @Override
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Lookouts.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Lookouts.java
@@ -16,20 +16,21 @@
 import java.util.Optional;
 
 /**
- * Which routers watch the store for the others: some of each large zone, chosen by a hash of their
- * ids. The others follow them in place of the store, which saves most of its calls; in a small zone
- * there is little to save.
+ * Chooses the watch relays: routers that watch the store and pass its changes on to the others.
+ * Each large zone has some, chosen by a hash of the router ids. The other routers follow the relays
+ * instead of the store, which saves the store most of its calls. In a small zone every router
+ * watches the store, since there is little to save.
  */
 final class Lookouts implements FeedSource {
   private static final int FEWEST = 2;
 
-  /** Zones with fewer routers are small. */
+  /** Zones with fewer routers are small: each of their routers watches the store. */
   private static final int LARGE_ZONE = 6;
 
   private static final int ROUTERS_FOR_EACH_IN_SMALL_ZONE = 4;
   private static final int ROUTERS_FOR_EACH_IN_LARGE_ZONE = 8;
 
-  /** A lookout that gave no answer is left for this long. */
+  /** How long a relay that failed to answer is not chosen. */
   private static final Duration AVOIDANCE = Duration.ofSeconds(2);
 
   private static final HashFunction HASH = Hashing.murmur3_128();
@@ -45,15 +46,16 @@
   private int askedAfterGap;
 
   /**
-   * The lookouts of a group as this router sees them.
+   * The relays of a group as this router sees them.
    *
    * @param isSmall whether every router follows the store itself
-   * @param isLookout whether this router is one
-   * @param lookouts addresses of the others that are, or would be in this router's place
+   * @param isLookout whether this router is a relay
+   * @param lookouts addresses of the relays among the other routers. If this router is a relay, the
+   *     list also has the router that would replace it.
    */
   private record View(boolean isSmall, boolean isLookout, ImmutableList<String> lookouts) {}
 
-  /** Another router and its place among all. */
+  /** Another router and the hash that ranks it. */
   private record Ranked(String address, long weight) {}
 
   Lookouts(ForwardOptions options, RouterGroup routers, RouterClock clock) {
@@ -63,7 +65,7 @@
     this.ownWeight = weight(options.id());
   }
 
-  /** Whether this router is one; every router is while it knows no other of its group. */
+  /** Whether this router is a relay. It is one while it knows no other router of its group. */
   @Override
   public boolean isLookout() {
     return view().isLookout();
@@ -86,7 +88,7 @@
       return Optional.empty();
     }
     ImmutableList<String> lookouts = view.lookouts();
-    // Routers begin at different ones, so that each has about as many followers.
+    // Routers start at different relays, so that the followers spread evenly.
     int first = (int) Math.floorMod(ownWeight, (long) lookouts.size());
     for (int i = 0; i < lookouts.size(); i++) {
       String lookout = lookouts.get((first + i) % lookouts.size());
@@ -108,7 +110,7 @@
     return Optional.of(lookouts.get(next));
   }
 
-  /** What follows from the routers that are known; made once for each change of them. */
+  /** Returns the view for the routers now known; rebuilt only when that list changes. */
   @SuppressWarnings("ReferenceEquality")
   private View view() {
     ImmutableList<NearbyRouter> nearby = routers.nearby();
@@ -143,7 +145,7 @@
     return failed != null && clock.nanoTime() - failed < AVOIDANCE.toNanos();
   }
 
-  /** Whether every router of a group of so many follows the store itself. */
+  /** Whether every router of a group of this size follows the store itself. */
   private boolean isSmall(int ofGroup) {
     return ofGroup < LARGE_ZONE || !options.has(Mechanism.FOLLOWED_LOOKOUTS);
   }
@@ -155,8 +157,9 @@
   }
 
   /**
-   * The routers that share lookouts with this one: those of its zone; where that is small and each
-   * view must be fresh, all, since each small zone would need lookouts of its own.
+   * The other routers that share relays with this one: those of its zone. If the zone is small and
+   * every view must be fresh, all routers share relays, since otherwise each small zone would need
+   * its own.
    */
   private List<NearbyRouter> othersOfGroup() {
     List<NearbyRouter> ofZone = new ArrayList<>();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterGroup.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterGroup.java
@@ -4,35 +4,37 @@
 import io.arrowarch.core.peer.NearbyRouter;
 import io.arrowarch.core.peer.PeerGroup;
 
-/** The routers that share servers and budgets, as one of them sees them. */
+/** The routers that share servers and budgets, as known to one of them. */
 public interface RouterGroup {
-  /** How many there are, this one included; more rather than fewer when unknown. */
+  /** How many there are, this one included; an overestimate while the number is not known. */
   int count();
 
-  /** The others that answer; the same list until one of them changes. */
+  /** The other routers that answer. The list is the same instance until one of them changes. */
   ImmutableList<NearbyRouter> nearby();
 
-  /** Whether there are others, or were lately, whether they answer or not. */
+  /** Whether other routers exist or existed recently, even if none answers. */
   default boolean hasOthers() {
     return !nearby().isEmpty();
   }
 
-  /** Peer addresses of others that are there first, as settings say; none for one of these. */
+  /**
+   * Peer addresses of the routers named in the settings as contacts; empty for a contact itself.
+   */
   default ImmutableList<String> contacts() {
     return ImmutableList.of();
   }
 
-  /** How limits of tenants are counted with them. */
+  /** The group with which tenant limits are counted. */
   default PeerGroup peers() {
     return PeerGroup.NONE;
   }
 
-  /** Hands searches to them. */
+  /** Delegates searches to the other routers. */
   default DelegateTransport transport() {
     return DelegateTransport.NONE;
   }
 
-  /** A group without others that searches could be handed to. */
+  /** A group of the given size that has no router to delegate searches to. */
   static RouterGroup ofCount(int count) {
     return new RouterGroup() {
       @Override
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterPeers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterPeers.java
@@ -22,38 +22,41 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The other routers. They are needed for how many share a budget and the connections of a server,
- * and for word of a server that leaves where the store does not reach.
+ * The other routers, as found by gossip. Their number decides how budgets and the connections of
+ * servers are shared. They also report servers that are draining, for routers that cannot reach the
+ * store.
  */
 public final class RouterPeers {
-  /** A router that has gone may have spent its share within a window of budgets before. */
+  /**
+   * Covers a budget window: a router that has gone may have spent its share earlier in the window.
+   */
   private static final Duration COUNT_MEMORY = Duration.ofSeconds(12);
 
-  /** Routers whose starts are no further apart have started together. */
+  /** Routers that started within this time of each other count as started together. */
   private static final Duration ESTABLISHED_AGE = Duration.ofSeconds(5);
 
-  /** Until the others are known there are taken to be many; contacts are a few of them. */
+  /** Assumed until the others are known: contacts are only a few of the routers. */
   private static final int ROUTERS_FOR_EACH_CONTACT = 3;
 
-  /** The revisions of the store that this router and others have seen. */
+  /** Exchanges the store revisions that this router and others have seen. */
   public interface StoreRevisions {
-    /** What this router knows. */
+    /** What this router tells the others. */
     StoreNews news();
 
     /**
-     * Takes that another router's view was complete, with every change up to a position and none
-     * after it.
+     * Called when another router has confirmed that its view held every change up to a position,
+     * and none after it.
      *
-     * @param askedNanos when it was asked, on this router's clock
-     * @param age of its view then
+     * @param askedNanos when the other router was asked, on this router's clock
+     * @param age how old its view was when it answered
      */
     void onConfirmedByPeer(StoreRevision position, long askedNanos, Duration age);
 
     /**
-     * Takes what another router knows.
+     * Called with the revisions that another router has seen.
      *
-     * @param address of the other router
-     * @param near whether it is of the same zone
+     * @param address the other router's peer address
+     * @param near whether it is in the same zone
      */
     void onSeenByPeer(StoreNews news, String address, boolean near);
   }
@@ -70,13 +73,13 @@
   private long rememberedNanos;
 
   /**
-   * Creates the view of one router.
+   * Creates the peers of one router.
    *
-   * @param self its own record
-   * @param contacts peer addresses to try first
-   * @param onDrain told the id of each server that another router says is leaving
-   * @param revisions the revisions of the store that routers have seen
-   * @param others told every message that is not about the routers themselves
+   * @param self the router's own record
+   * @param contacts peer addresses to try first, as IP:PORT
+   * @param onDrain receives the id of each server that another router reports as draining
+   * @param revisions exchanges store revisions with the other routers
+   * @param others receives every message that is not about membership
    */
   public RouterPeers(
       MemberRecord self,
@@ -100,12 +103,12 @@
     this.rememberedNanos = clock.nanoTime();
   }
 
-  /** Starts to look for the others. */
+  /** Starts looking for the other routers. */
   public void start() {
     membership.start();
   }
 
-  /** Adds peer addresses to try. */
+  /** Adds peer addresses to contact. */
   public void addContacts(List<String> addresses) {
     membership.addContacts(addresses);
   }
@@ -115,29 +118,29 @@
     membership.leave();
   }
 
-  /** Sends a message to itself, so that what messages need is loaded. */
+  /** Sends a message to this router itself, so that the classes for messages are loaded. */
   public void rehearse() {
     membership.rehearse();
   }
 
-  /** Sends a message to another router, without any promise of delivery. */
+  /** Sends a message to another router; it may be lost. */
   public void send(String address, PeerBody body) {
     membership.send(address, body);
   }
 
-  /** The record of this router. */
+  /** This router's own record. */
   public MemberRecord self() {
     return membership.self();
   }
 
-  /** Tells the others that a server is leaving. */
+  /** Tells the others that a server is draining. */
   public void tellDrain(String serverId) {
     membership.tellDrain(new DrainMark(serverId, serverId));
   }
 
   /**
-   * How many routers share servers and budgets, this one included: the most that there were lately,
-   * since too many is safe and too few is not.
+   * How many routers share servers and budgets, this one included. This is the highest count of
+   * recent seconds: a count that is too high is safe, one that is too low overloads servers.
    */
   public int count() {
     long nowNanos = clock.nanoTime();
@@ -154,20 +157,20 @@
   }
 
   /**
-   * Whether another router is known that was started well before this one, so that callers are
-   * served while this one gets ready. Incarnations are times of start.
+   * Whether a router that started well before this one is alive, so that callers are served while
+   * this one warms up. Incarnations are start times in milliseconds.
    */
   public boolean hasEstablished() {
     return membership.reachable().stream()
         .anyMatch(member -> member.state() == MemberRecord.State.ALIVE && isEstablished(member));
   }
 
-  /** Whether another router is known, be it dead. */
+  /** Whether any other router is known, dead ones included. */
   public boolean hasOthers() {
     return !membership.members().isEmpty();
   }
 
-  /** The other routers that answer and are not stopping. */
+  /** The other routers that answer and are not stopping. The list is the same until they change. */
   public ImmutableList<NearbyRouter> nearby() {
     ImmutableList<MemberRecord> reachable = membership.reachable();
     if (!isSame(reachable, nearbyFrom)) {
@@ -177,7 +180,7 @@
     return nearby;
   }
 
-  /** Whether it is the very list: comparing its members would cost as much as making it anew. */
+  /** Compares by identity: comparing the members would cost as much as building the list again. */
   @SuppressWarnings("ReferenceEquality")
   private static boolean isSame(
       ImmutableList<MemberRecord> members, ImmutableList<MemberRecord> others) {
@@ -204,7 +207,7 @@
     return member.incarnation() < membership.self().incarnation() - ESTABLISHED_AGE.toMillis();
   }
 
-  /** Takes a message from another router. */
+  /** Handles a message from another router. */
   public void onMessage(PeerMessage message) {
     MemberRecord sender = message.sender();
     boolean wasKnown = membership.isKnown(sender);
@@ -224,7 +227,7 @@
     }
   }
 
-  /** The other's clock need not be known: its age counts back from when it was asked. */
+  /** Counts the age back from when the other was asked, so the routers' clocks need not agree. */
   private void onDatedNews(PeerBody.News news, long askedNanos) {
     if (news.store().ageMillis() != StoreNews.NEVER) {
       Duration age = Duration.ofMillis(news.store().ageMillis());
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerChangeLog.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerChangeLog.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 
 /**
- * Gathers the changes of servers that one answer tells into one line for each status. A line for
- * each server was three quarters of all lines of a day in which hundreds of servers are replaced,
- * written by each router.
+ * Collects the server changes of one store answer and logs one line for each status. With one line
+ * for each server, these would be three quarters of each router's log on a day on which hundreds of
+ * servers are replaced.
  */
 final class ServerChangeLog {
-  /** Servers named in a line; more are counted. */
+  /** A line lists at most this many servers; its count covers all. */
   private static final int MOST_NAMED = 200;
 
   private final EventLog events;
@@ -33,7 +33,7 @@
         .add(entry.id() + ' ' + entry.service());
   }
 
-  /** Writes what was added. */
+  /** Logs the changes added since the last call. */
   void write() {
     if (serversByStatus.isEmpty()) {
       return;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerFeed.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerFeed.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Takes what the store says of servers into the directory, and logs what is believed since. */
+/** Applies the store's server entries to the directory and logs the resulting changes. */
 final class ServerFeed {
-  /** Whoever wrote a malformed entry may have done so at any time. */
+  /** When a malformed entry was written is not known: it may have been at any time. */
   private static final long LONG_AGO_NANOS = Long.MIN_VALUE / 2;
 
   private final ServerDirectory directory;
@@ -21,9 +21,9 @@
   private final ServerEntries entries = new ServerEntries();
 
   /**
-   * Creates a feed that has read nothing.
+   * Creates a feed that has read no entries.
    *
-   * @param onEnded told the id of each server whose name another process has taken
+   * @param onEnded receives the id of each server that a new process has replaced under its name
    */
   ServerFeed(
       ServerDirectory directory, RouterClock clock, EventLog events, Consumer<String> onEnded) {
@@ -34,15 +34,15 @@
   }
 
   /**
-   * Takes an entry.
+   * Applies an entry that was written.
    *
-   * @param sinceNanos the earliest moment at which it may have been written
-   * @param isLogged whether a line is written also where the server is merely ready
+   * @param sinceNanos the earliest time at which it may have been written
+   * @param isLogged whether to log a server that becomes ready; other changes are always logged
    */
   void onWritten(
       String key, ServerEntry entry, long sinceNanos, StoreRevision revision, boolean isLogged) {
     if (entries.isStale(key, entry)) {
-      // A copy of the store, or a router that is behind, tells what the server has said before.
+      // A store restored from a backup, or a router that is behind, may repeat an earlier entry.
       changes.add(entry, "stale", revision);
       return;
     }
@@ -55,14 +55,14 @@
     } else if (changed && (isLogged || entry.draining())) {
       changes.add(entry, entry.draining() ? "draining" : "ready", revision);
     }
-    // What is open at a process that has ended without a reset would wait for nothing.
+    // The old process may have ended without a reset: attempts still open there would never end.
     former.ifPresent(ended -> onEnded.accept(ended.id()));
   }
 
   /**
-   * Takes that an entry has gone.
+   * Applies the removal of an entry.
    *
-   * @param sinceNanos from when its absence is counted
+   * @param sinceNanos the time from which the entry counts as removed
    */
   void onGone(String key, long sinceNanos, StoreRevision revision) {
     entries
@@ -71,12 +71,12 @@
         .ifPresent(entry -> changes.add(entry, "gone", revision));
   }
 
-  /** A key names no server any more, since what stands there is not an entry of one. */
+  /** Removes the server of a key whose new entry cannot be read. */
   void onMalformed(String key, StoreRevision revision) {
     onGone(key, LONG_AGO_NANOS, revision);
   }
 
-  /** Writes what one answer has changed. */
+  /** Logs the changes of one answer, once all of it is applied. */
   void onAnswerTold() {
     changes.write();
   }
