--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ColdServerLimits.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ColdServerLimits.java
@@ -17,13 +17,13 @@
  */
 final class ColdServerLimits {
   /** Routers learn of each other at different times, and requests may arrive a second later. */
-  private static final double SAFETY = 0.7;
+  private static final double SAFETY_FACTOR = 0.7;
 
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final ColdServerRules rules;
   private final ToDoubleFunction<String> share;
-  private final Map<String, Deque<Long>> sentByServer = new HashMap<>();
+  private final Map<String, Deque<Long>> sentNanosByServer = new HashMap<>();
   private Optional<RoutingConfiguration> configuration = Optional.empty();
 
   /**
@@ -43,21 +43,23 @@
   /** Whether this router may send a request to a server now; always true for a warm server. */
   boolean admits(ServerState server, long nowNanos) {
     if (!server.isCold(nowNanos)) {
-      sentByServer.remove(server.id());
+      sentNanosByServer.remove(server.id());
       return true;
     }
     double rate = rateOf(server.entry().service());
     if (rate <= 0) {
       return true;
     }
-    double own = SAFETY * rules.mostInASecond(rate) * share.applyAsDouble(server.entry().service());
-    return own > 0 && count(server, windowNanos(own), nowNanos) < Math.max(1, Math.floor(own));
+    double ownRate =
+        SAFETY_FACTOR * rules.mostInASecond(rate) * share.applyAsDouble(server.entry().service());
+    return ownRate > 0
+        && count(server, windowNanos(ownRate), nowNanos) < Math.max(1, Math.floor(ownRate));
   }
 
   /** Records that a request was sent to a server. */
   void onSent(ServerState server, long nowNanos) {
     if (server.isCold(nowNanos) && rateOf(server.entry().service()) > 0) {
-      sentByServer.computeIfAbsent(server.id(), id -> new ArrayDeque<>()).addLast(nowNanos);
+      sentNanosByServer.computeIfAbsent(server.id(), id -> new ArrayDeque<>()).addLast(nowNanos);
     }
   }
 
@@ -67,7 +69,7 @@
   }
 
   private int count(ServerState server, double windowNanos, long nowNanos) {
-    Deque<Long> sent = sentByServer.get(server.id());
+    Deque<Long> sent = sentNanosByServer.get(server.id());
     if (sent == null) {
       return 0;
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ConnectionShares.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ConnectionShares.java
@@ -9,37 +9,40 @@
  */
 final class ConnectionShares {
   /** Servers may still hold connections of a restarted router's previous process. */
-  private static final int YOUNG_DIVISOR = 2;
+  private static final int RECENT_START_DIVISOR = 2;
 
   /** With one connection to a server, concurrent searches would wait for each other. */
-  private static final int FEWEST_OF_GATHERER = 2;
+  private static final int MIN_ATTEMPTS_OF_GATHERER = 2;
 
   /** More attempts at one server would only queue there. */
-  private static final int MAXIMUM_OPEN = 8;
+  private static final int MAX_OPEN_ATTEMPTS = 8;
 
   /** Added to the known gatherers: routers do not learn of a new one at the same time. */
-  private static final int UNSEEN_GATHERERS = 2;
+  private static final int UNKNOWN_GATHERERS = 2;
 
   /** There may be this many times more routers than a recently started one has heard of. */
-  private static final int UNSEEN_WHILE_YOUNG = 8;
+  private static final int RECENT_START_ROUTER_FACTOR = 8;
 
   private final SearchLayout layout;
   private final Gatherers gatherers;
   private final IntSupplier routers;
-  private final BooleanSupplier young;
+  private final BooleanSupplier recentlyStarted;
 
   /**
    * Creates the shares of one router.
    *
    * @param routers the number of routers that share the servers
-   * @param young whether this router has started recently
+   * @param recentlyStarted whether this router has started recently
    */
   ConnectionShares(
-      SearchLayout layout, Gatherers gatherers, IntSupplier routers, BooleanSupplier young) {
+      SearchLayout layout,
+      Gatherers gatherers,
+      IntSupplier routers,
+      BooleanSupplier recentlyStarted) {
     this.layout = layout;
     this.gatherers = gatherers;
     this.routers = routers;
-    this.young = young;
+    this.recentlyStarted = recentlyStarted;
   }
 
   /** How many attempts this router may have open at one server of a service. */
@@ -48,11 +51,11 @@
         layout.isGathered(service) ? gatherers.sharing(service) : OptionalInt.empty();
     int sharers = gathering.orElse(Math.max(1, routers.getAsInt()));
     double share = layout.used(service) / sharers;
-    if (young.getAsBoolean()) {
-      share /= YOUNG_DIVISOR;
+    if (recentlyStarted.getAsBoolean()) {
+      share /= RECENT_START_DIVISOR;
     }
-    int fewest = gathering.isPresent() ? FEWEST_OF_GATHERER : 1;
-    return Math.max(fewest, Math.min(MAXIMUM_OPEN, (int) share));
+    int fewest = gathering.isPresent() ? MIN_ATTEMPTS_OF_GATHERER : 1;
+    return Math.max(fewest, Math.min(MAX_OPEN_ATTEMPTS, (int) share));
   }
 
   /**
@@ -60,26 +63,26 @@
    * service. The fraction is smaller for a recently started router, which may not have heard of
    * most others.
    */
-  double coldServerPart(String service) {
+  double coldServerFraction(String service) {
     OptionalInt gathering =
         layout.isGathered(service) ? gatherers.sharing(service) : OptionalInt.empty();
     int sharers =
         gathering.isPresent()
-            ? gathering.getAsInt() + UNSEEN_GATHERERS
+            ? gathering.getAsInt() + UNKNOWN_GATHERERS
             : Math.max(1, routers.getAsInt());
-    return 1.0 / (young.getAsBoolean() ? UNSEEN_WHILE_YOUNG * sharers : sharers);
+    return 1.0 / (recentlyStarted.getAsBoolean() ? RECENT_START_ROUTER_FACTOR * sharers : sharers);
   }
 
   /**
    * This router's fraction, from 0 to 1, of a service's allowance of extra attempts. It is 0 for a
    * shard whose parts other routers gather.
    */
-  double allowancePart(String service) {
+  double allowanceFraction(String service) {
     if (!layout.isGathered(service)) {
       return 1.0 / Math.max(1, routers.getAsInt());
     }
     return gatherers.sharing(service).stream()
-        .mapToDouble(sharing -> 1.0 / (sharing + UNSEEN_GATHERERS))
+        .mapToDouble(sharing -> 1.0 / (sharing + UNKNOWN_GATHERERS))
         .findFirst()
         .orElse(0);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
@@ -142,8 +142,8 @@
                 run(request, route, times, Delegator.NONE, watch, false, sink));
     this.admission = new SearchAdmission(clock, timers, random, options.has(Mechanism.SLOW_START));
     AttemptBudgets budgets =
-        new AttemptBudgets(options.extraAttempts(), shares::allowancePart, startNanos);
-    this.coldServers = new ColdServerLimits(options.coldServers(), shares::coldServerPart);
+        new AttemptBudgets(options.extraAttempts(), shares::allowanceFraction, startNanos);
+    this.coldServers = new ColdServerLimits(options.coldServers(), shares::coldServerFraction);
     this.sender =
         new AttemptSender(
             clock,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardingRouter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardingRouter.java
@@ -81,7 +81,7 @@
             timers,
             random,
             options.store(),
-            new Lookouts(options, group, clock));
+            new WatchRelays(options, group, clock));
     this.coordinator =
         new ForwardCoordinator(
             options,
@@ -228,8 +228,8 @@
   }
 
   @Override
-  public void onSource(Optional<String> lookout) {
-    logStore("follows", lookout.orElse("the store"), follower.view().position());
+  public void onSource(Optional<String> relay) {
+    logStore("follows", relay.orElse("the store"), follower.view().position());
   }
 
   @Override
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterPeers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterPeers.java
@@ -30,13 +30,13 @@
   /**
    * Covers a budget window: a router that has gone may have spent its share earlier in the window.
    */
-  private static final Duration COUNT_MEMORY = Duration.ofSeconds(12);
+  private static final Duration COUNT_RETENTION = Duration.ofSeconds(12);
 
   /** Routers that started within this time of each other count as started together. */
   private static final Duration ESTABLISHED_AGE = Duration.ofSeconds(5);
 
   /** Assumed until the others are known: contacts are only a few of the routers. */
-  private static final int ROUTERS_FOR_EACH_CONTACT = 3;
+  private static final int ROUTERS_PER_CONTACT = 3;
 
   /** Exchanges the store revisions that this router and others have seen. */
   public interface StoreRevisions {
@@ -67,10 +67,10 @@
   private final Consumer<String> onDrain;
   private final StoreRevisions revisions;
   private final Consumer<PeerMessage> others;
-  private ImmutableList<MemberRecord> nearbyFrom = ImmutableList.of();
+  private ImmutableList<MemberRecord> nearbySource = ImmutableList.of();
   private ImmutableList<NearbyRouter> nearby = ImmutableList.of();
-  private int remembered;
-  private long rememberedNanos;
+  private int recentMaximum;
+  private long recentMaximumNanos;
 
   /**
    * Creates the peers of one router.
@@ -99,8 +99,8 @@
     this.others = others;
     this.membership =
         new Membership(self, contacts, clock, timers, random, transport, this::storeNews);
-    this.remembered = ROUTERS_FOR_EACH_CONTACT * (1 + contacts.size());
-    this.rememberedNanos = clock.nanoTime();
+    this.recentMaximum = ROUTERS_PER_CONTACT * (1 + contacts.size());
+    this.recentMaximumNanos = clock.nanoTime();
   }
 
   /** Starts looking for the other routers. */
@@ -145,22 +145,22 @@
   public int count() {
     long nowNanos = clock.nanoTime();
     int now = 1 + membership.reachable().size();
-    boolean forgotten = nowNanos - rememberedNanos > COUNT_MEMORY.toNanos();
-    if (now >= remembered || forgotten) {
-      if (now != remembered) {
-        events.log(new RouterEvent.RoutersChanged(remembered, now));
+    boolean expired = nowNanos - recentMaximumNanos > COUNT_RETENTION.toNanos();
+    if (now >= recentMaximum || expired) {
+      if (now != recentMaximum) {
+        events.log(new RouterEvent.RoutersChanged(recentMaximum, now));
       }
-      remembered = now;
-      rememberedNanos = nowNanos;
+      recentMaximum = now;
+      recentMaximumNanos = nowNanos;
     }
-    return remembered;
+    return recentMaximum;
   }
 
   /**
    * Whether a router that started well before this one is alive, so that callers are served while
    * this one warms up. Incarnations are start times in milliseconds.
    */
-  public boolean hasEstablished() {
+  public boolean hasEstablishedPeer() {
     return membership.reachable().stream()
         .anyMatch(member -> member.state() == MemberRecord.State.ALIVE && isEstablished(member));
   }
@@ -173,8 +173,8 @@
   /** The other routers that answer and are not stopping. The list is the same until they change. */
   public ImmutableList<NearbyRouter> nearby() {
     ImmutableList<MemberRecord> reachable = membership.reachable();
-    if (!isSame(reachable, nearbyFrom)) {
-      nearbyFrom = reachable;
+    if (!isSame(reachable, nearbySource)) {
+      nearbySource = reachable;
       nearby = toNearby(reachable);
     }
     return nearby;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerChangeLog.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerChangeLog.java
@@ -16,7 +16,7 @@
  */
 final class ServerChangeLog {
   /** A line lists at most this many servers; its count covers all. */
-  private static final int MOST_NAMED = 200;
+  private static final int MAX_LISTED_SERVERS = 200;
 
   private final EventLog events;
   private final Map<String, List<String>> serversByStatus = new LinkedHashMap<>();
@@ -45,7 +45,7 @@
                     status,
                     revision,
                     servers.size(),
-                    servers.subList(0, Math.min(MOST_NAMED, servers.size())))));
+                    servers.subList(0, Math.min(MAX_LISTED_SERVERS, servers.size())))));
     serversByStatus.clear();
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Lookouts.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/WatchRelays.java
@@ -21,48 +21,48 @@
  * instead of the store, which saves the store most of its calls. In a small zone every router
  * watches the store, since there is little to save.
  */
-final class Lookouts implements FeedSource {
-  private static final int FEWEST = 2;
+final class WatchRelays implements FeedSource {
+  private static final int MIN_RELAYS = 2;
 
   /** Zones with fewer routers are small: each of their routers watches the store. */
-  private static final int LARGE_ZONE = 6;
+  private static final int LARGE_ZONE_ROUTERS = 6;
 
-  private static final int ROUTERS_FOR_EACH_IN_SMALL_ZONE = 4;
-  private static final int ROUTERS_FOR_EACH_IN_LARGE_ZONE = 8;
+  private static final int ROUTERS_PER_RELAY_IN_SMALL_ZONE = 4;
+  private static final int ROUTERS_PER_RELAY_IN_LARGE_ZONE = 8;
 
   /** How long a relay that failed to answer is not chosen. */
-  private static final Duration AVOIDANCE = Duration.ofSeconds(2);
+  private static final Duration FAILURE_BACKOFF = Duration.ofSeconds(2);
 
   private static final HashFunction HASH = Hashing.murmur3_128();
 
   private final ForwardOptions options;
   private final RouterGroup routers;
   private final RouterClock clock;
-  private final long ownWeight;
+  private final long ownIdHash;
   private final Map<String, Long> failedNanos = new HashMap<>();
-  private ImmutableList<NearbyRouter> madeFrom = ImmutableList.of();
-  private Optional<View> made = Optional.empty();
-  private int askedAtStart;
-  private int askedAfterGap;
+  private ImmutableList<NearbyRouter> cachedViewSource = ImmutableList.of();
+  private Optional<View> cachedView = Optional.empty();
+  private int queriesAtStart;
+  private int queriesAfterGap;
 
   /**
    * The relays of a group as this router sees them.
    *
-   * @param isSmall whether every router follows the store itself
+   * @param allWatchStore whether every router follows the store itself
    * @param isLookout whether this router is a relay
-   * @param lookouts addresses of the relays among the other routers. If this router is a relay, the
+   * @param relays addresses of the relays among the other routers. If this router is a relay, the
    *     list also has the router that would replace it.
    */
-  private record View(boolean isSmall, boolean isLookout, ImmutableList<String> lookouts) {}
+  private record View(boolean allWatchStore, boolean isLookout, ImmutableList<String> relays) {}
 
   /** Another router and the hash that ranks it. */
-  private record Ranked(String address, long weight) {}
+  private record Ranked(String address, long idHash) {}
 
-  Lookouts(ForwardOptions options, RouterGroup routers, RouterClock clock) {
+  WatchRelays(ForwardOptions options, RouterGroup routers, RouterClock clock) {
     this.options = options;
     this.routers = routers;
     this.clock = clock;
-    this.ownWeight = weight(options.id());
+    this.ownIdHash = idHash(options.id());
   }
 
   /** Whether this router is a relay. It is one while it knows no other router of its group. */
@@ -73,27 +73,27 @@
 
   @Override
   public boolean isFollowed() {
-    return !view().isSmall() && view().isLookout();
+    return !view().allWatchStore() && view().isLookout();
   }
 
   @Override
   public boolean hasLookouts() {
-    return !view().isSmall() && !view().isLookout();
+    return !view().allWatchStore() && !view().isLookout();
   }
 
   @Override
   public Optional<String> lookoutToFollow() {
     View view = view();
-    if (view.isSmall()) {
+    if (view.allWatchStore()) {
       return Optional.empty();
     }
-    ImmutableList<String> lookouts = view.lookouts();
+    ImmutableList<String> relays = view.relays();
     // Routers start at different relays, so that the followers spread evenly.
-    int first = (int) Math.floorMod(ownWeight, (long) lookouts.size());
-    for (int i = 0; i < lookouts.size(); i++) {
-      String lookout = lookouts.get((first + i) % lookouts.size());
-      if (!isAvoided(lookout)) {
-        return Optional.of(lookout);
+    int first = (int) Math.floorMod(ownIdHash, (long) relays.size());
+    for (int i = 0; i < relays.size(); i++) {
+      String relay = relays.get((first + i) % relays.size());
+      if (!isBackingOff(relay)) {
+        return Optional.of(relay);
       }
     }
     return Optional.empty();
@@ -102,37 +102,37 @@
   @Override
   public Optional<String> lookoutToAskAfterGap() {
     View view = view();
-    if (view.isSmall() || view.isLookout()) {
+    if (view.allWatchStore() || view.isLookout()) {
       return Optional.empty();
     }
-    ImmutableList<String> lookouts = view.lookouts();
-    int next = (int) Math.floorMod(ownWeight + askedAfterGap++, (long) lookouts.size());
-    return Optional.of(lookouts.get(next));
+    ImmutableList<String> relays = view.relays();
+    int next = (int) Math.floorMod(ownIdHash + queriesAfterGap++, (long) relays.size());
+    return Optional.of(relays.get(next));
   }
 
   /** Returns the view for the routers now known; rebuilt only when that list changes. */
   @SuppressWarnings("ReferenceEquality")
   private View view() {
     ImmutableList<NearbyRouter> nearby = routers.nearby();
-    if (made.isEmpty() || nearby != madeFrom) {
-      madeFrom = nearby;
-      made = Optional.of(makeView());
+    if (cachedView.isEmpty() || nearby != cachedViewSource) {
+      cachedViewSource = nearby;
+      cachedView = Optional.of(buildView());
     }
-    return made.get();
+    return cachedView.get();
   }
 
-  private View makeView() {
+  private View buildView() {
     List<Ranked> others = new ArrayList<>();
-    for (NearbyRouter router : othersOfGroup()) {
-      others.add(new Ranked(router.address(), weight(router.id())));
+    for (NearbyRouter router : groupPeers()) {
+      others.add(new Ranked(router.address(), idHash(router.id())));
     }
-    int ofGroup = others.size() + 1;
-    int count = count(ofGroup);
-    long before = others.stream().filter(router -> router.weight() < ownWeight).count();
-    others.sort(Comparator.comparingLong(Ranked::weight));
-    ImmutableList<String> lookouts =
+    int groupSize = others.size() + 1;
+    int count = count(groupSize);
+    long before = others.stream().filter(router -> router.idHash() < ownIdHash).count();
+    others.sort(Comparator.comparingLong(Ranked::idHash));
+    ImmutableList<String> relays =
         others.stream().limit(count).map(Ranked::address).collect(ImmutableList.toImmutableList());
-    return new View(isSmall(ofGroup), before < count, lookouts);
+    return new View(allWatchStore(groupSize), before < count, relays);
   }
 
   @Override
@@ -140,20 +140,22 @@
     failedNanos.put(address, clock.nanoTime());
   }
 
-  private boolean isAvoided(String address) {
+  private boolean isBackingOff(String address) {
     Long failed = failedNanos.get(address);
-    return failed != null && clock.nanoTime() - failed < AVOIDANCE.toNanos();
+    return failed != null && clock.nanoTime() - failed < FAILURE_BACKOFF.toNanos();
   }
 
   /** Whether every router of a group of this size follows the store itself. */
-  private boolean isSmall(int ofGroup) {
-    return ofGroup < LARGE_ZONE || !options.has(Mechanism.FOLLOWED_LOOKOUTS);
+  private boolean allWatchStore(int groupSize) {
+    return groupSize < LARGE_ZONE_ROUTERS || !options.has(Mechanism.FOLLOWED_LOOKOUTS);
   }
 
-  private int count(int ofGroup) {
-    int routersForEach =
-        isSmall(ofGroup) ? ROUTERS_FOR_EACH_IN_SMALL_ZONE : ROUTERS_FOR_EACH_IN_LARGE_ZONE;
-    return Math.max(FEWEST, ofGroup / routersForEach);
+  private int count(int groupSize) {
+    int routersPerRelay =
+        allWatchStore(groupSize)
+            ? ROUTERS_PER_RELAY_IN_SMALL_ZONE
+            : ROUTERS_PER_RELAY_IN_LARGE_ZONE;
+    return Math.max(MIN_RELAYS, groupSize / routersPerRelay);
   }
 
   /**
@@ -161,14 +163,14 @@
    * every view must be fresh, all routers share relays, since otherwise each small zone would need
    * its own.
    */
-  private List<NearbyRouter> othersOfGroup() {
+  private List<NearbyRouter> groupPeers() {
     List<NearbyRouter> ofZone = new ArrayList<>();
     for (NearbyRouter router : routers.nearby()) {
       if (router.zone().equals(options.zone())) {
         ofZone.add(router);
       }
     }
-    boolean small = ofZone.size() + 1 < LARGE_ZONE;
+    boolean small = ofZone.size() + 1 < LARGE_ZONE_ROUTERS;
     return small && options.store().everyView() ? new ArrayList<>(routers.nearby()) : ofZone;
   }
 
@@ -178,11 +180,11 @@
     if (contacts.isEmpty()) {
       return Optional.empty();
     }
-    int next = (int) Math.floorMod(ownWeight + askedAtStart++, (long) contacts.size());
+    int next = (int) Math.floorMod(ownIdHash + queriesAtStart++, (long) contacts.size());
     return Optional.of(contacts.get(next));
   }
 
-  private static long weight(String router) {
+  private static long idHash(String router) {
     return HASH.hashString(router, StandardCharsets.UTF_8).asLong();
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FollowerFleet.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FollowerFleet.java
@@ -31,7 +31,7 @@
 import java.util.Set;
 
 /**
- * Followers of one store in virtual time, with their lookouts and their messages: calls take a few
+ * Followers of one store in virtual time, with their relays and their messages: calls take a few
  * milliseconds, and may be refused or swallowed; routers may pause, be cut off or start anew.
  */
 final class FollowerFleet {
@@ -104,7 +104,7 @@
     private TimerQueue timers = new TimerQueue();
     private int life;
     StoreFollower follower;
-    private Lookouts lookouts;
+    private WatchRelays relays;
     private RouterPeers peers;
 
     Router(int number) {
@@ -134,8 +134,8 @@
               new Revisions(),
               message -> {});
       FeedBounds bounds = new FeedBounds(Duration.ofSeconds(5), BOUND, BOUND, everyView);
-      lookouts = new Lookouts(options(bounds), this, machine);
-      follower = new StoreFollower(this, this, machine, timers, own, bounds, lookouts);
+      relays = new WatchRelays(options(bounds), this, machine);
+      follower = new StoreFollower(this, this, machine, timers, own, bounds, relays);
       peers.start();
       follower.start();
     }
@@ -173,7 +173,7 @@
 
     /** Whether others are to follow it, as it sees itself. */
     boolean isLookout() {
-      return lookouts.isFollowed();
+      return relays.isFollowed();
     }
 
     String zone() {
@@ -267,14 +267,14 @@
     public void watchPeer(
         long call, String address, StoreRevision after, Duration wait, Duration timeout) {
       later(timeout, () -> follower.onFailure(call, FeedFailure.NO_ANSWER));
-      Router lookout = find(address);
+      Router relay = find(address);
       int caller = life;
-      if (reaches(lookout)) {
-        lookout.later(
+      if (reaches(relay)) {
+        relay.later(
             way(),
             () -> {
               long untilNanos = clock.nanoTime() + wait.toNanos();
-              lookout.holdFeed(this, caller, call, after, lookout.machine.nanoTime(), untilNanos);
+              relay.holdFeed(this, caller, call, after, relay.machine.nanoTime(), untilNanos);
             });
       }
     }
@@ -401,7 +401,7 @@
     public void onListed(StoreRevision revision) {}
 
     @Override
-    public void onSource(Optional<String> lookout) {}
+    public void onSource(Optional<String> relay) {}
 
     @Override
     public void onLost(FeedFailure failure) {}
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPeersTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPeersTest.java
@@ -84,18 +84,18 @@
     create("r1", List.of("r2"), 1_000_000).start();
     create("r2", List.of("r1"), 1_000_300).start();
     run(Duration.ofSeconds(3));
-    assertThat(routers.get("r1").hasEstablished()).isFalse();
-    assertThat(routers.get("r2").hasEstablished()).isFalse();
+    assertThat(routers.get("r1").hasEstablishedPeer()).isFalse();
+    assertThat(routers.get("r2").hasEstablishedPeer()).isFalse();
 
     create("r3", List.of("r1"), 1_020_000).start();
     run(Duration.ofMillis(200));
-    assertThat(routers.get("r3").hasEstablished()).isTrue();
-    assertThat(routers.get("r1").hasEstablished()).isFalse();
+    assertThat(routers.get("r3").hasEstablishedPeer()).isTrue();
+    assertThat(routers.get("r1").hasEstablishedPeer()).isFalse();
 
     create("r4", List.of("r1", "r2"), 1_040_000).start();
     dead.addAll(List.of("r1", "r2", "r3"));
     run(Duration.ofMillis(50));
-    assertThat(create("r5", List.of("r1"), 1_050_000).hasEstablished()).isFalse();
+    assertThat(create("r5", List.of("r1"), 1_050_000).hasEstablishedPeer()).isFalse();
   }
 
   @Test
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/LookoutsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/WatchRelaysTest.java
@@ -15,28 +15,28 @@
 import org.testng.annotations.Test;
 
 /** Which routers watch the store closely. */
-public final class LookoutsTest {
+public final class WatchRelaysTest {
   private final FakeClock clock = new FakeClock();
 
   @Test
-  public void aRouterThatKnowsNoOtherIsOne() {
+  public void aRouterThatKnowsNoOtherIsARelay() {
     assertThat(isLookout("router-0", List.of())).isTrue();
   }
 
   @Test
-  public void aZoneHasTwoAtLeast() {
-    assertThat(lookouts(2)).isEqualTo(2);
-    assertThat(lookouts(3)).isEqualTo(2);
+  public void aZoneHasAtLeastTwoRelays() {
+    assertThat(relays(2)).isEqualTo(2);
+    assertThat(relays(3)).isEqualTo(2);
   }
 
   @Test
-  public void aLargeZoneHasAnEighthOfItsRouters() {
-    assertThat(lookouts(17)).isEqualTo(2);
-    assertThat(lookouts(40)).isEqualTo(5);
+  public void oneRouterInEightOfALargeZoneIsARelay() {
+    assertThat(relays(17)).isEqualTo(2);
+    assertThat(relays(40)).isEqualTo(5);
   }
 
   @Test
-  public void inASmallZoneEveryRouterFollowsTheStore() {
+  public void inASmallZoneNoRouterFollowsARelay() {
     for (int number = 0; number < 5; number++) {
       assertThat(of("router-" + number, without("router-" + number, zone(5))).lookoutToFollow())
           .isEmpty();
@@ -44,24 +44,24 @@
   }
 
   @Test
-  public void inALargeZoneTheOthersFollowLookouts() {
-    Set<String> lookouts = new HashSet<>();
+  public void inALargeZoneTheOthersFollowRelays() {
+    Set<String> relays = new HashSet<>();
     Set<String> followed = new HashSet<>();
     for (NearbyRouter router : zone(24)) {
-      Lookouts view = of(router.id(), without(router.id(), zone(24)));
+      WatchRelays view = of(router.id(), without(router.id(), zone(24)));
       if (view.isLookout()) {
-        lookouts.add(router.address());
+        relays.add(router.address());
       } else {
         followed.add(view.lookoutToFollow().orElseThrow());
       }
     }
-    assertThat(lookouts).hasSize(3);
-    assertThat(followed).isEqualTo(lookouts);
+    assertThat(relays).hasSize(3);
+    assertThat(followed).isEqualTo(relays);
   }
 
   @Test
-  public void aLookoutThatGaveNoAnswerIsLeftForAMoment() {
-    Lookouts view = of("router-0", zone(24));
+  public void aRelayThatFailedIsAvoidedForAWhile() {
+    WatchRelays view = of("router-0", zone(24));
     String first = view.lookoutToFollow().orElseThrow();
     view.onFailed(first);
     String second = view.lookoutToFollow().orElseThrow();
@@ -91,7 +91,7 @@
     assertThat(isLookout("router-0", elsewhere)).isTrue();
   }
 
-  private long lookouts(int routers) {
+  private long relays(int routers) {
     return zone(routers).stream()
         .filter(router -> isLookout(router.id(), without(router.id(), zone(routers))))
         .count();
@@ -105,7 +105,7 @@
     return of(id, others).isLookout();
   }
 
-  private Lookouts of(String id, List<NearbyRouter> others) {
+  private WatchRelays of(String id, List<NearbyRouter> others) {
     ForwardOptions options =
         new ForwardOptions(
             id,
@@ -121,6 +121,6 @@
             ForwardFixture.RULES,
             ImmutableSet.of());
     RouterGroup group = new FixedRouterGroup(1 + others.size(), others);
-    return new Lookouts(options, group, clock);
+    return new WatchRelays(options, group, clock);
   }
 }
--- a/arrowarch-node/src/main/java/io/arrowarch/node/forward/ForwardingNode.java
+++ b/arrowarch-node/src/main/java/io/arrowarch/node/forward/ForwardingNode.java
@@ -276,7 +276,7 @@
     afterStart(
         ROLE_POLL,
         TIME_TO_KNOW_FLEET,
-        () -> peers.hasEstablished() || callers.connectionCount() > 0,
+        () -> peers.hasEstablishedPeer() || callers.connectionCount() > 0,
         this::warmUpForRole);
   }
 
@@ -399,7 +399,7 @@
       return true;
     }
     long warmingNanos = listedNanos == 0 ? 0 : System.nanoTime() - listedNanos;
-    Duration longest = peers.hasEstablished() ? LATEST_READY : TIME_FOR_PEERS;
+    Duration longest = peers.hasEstablishedPeer() ? LATEST_READY : TIME_FOR_PEERS;
     return warmingNanos > longest.toNanos();
   }
 
