--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ColdServerLimitsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ColdServerLimitsTest.java
@@ -14,6 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** The requests that routers may send to a server during its warm-up. */
 public final class ColdServerLimitsTest {
   private static final ColdServerRules RULES = new ColdServerRules(1.5, 5);
   private static final Duration WARM_UP = Duration.ofSeconds(20);
@@ -38,7 +39,7 @@
     return limits;
   }
 
-  /** The most that is sent in any second by a router that sends whenever it may. */
+  /** The most requests in any second from a router that sends whenever it is allowed to. */
   private int mostInASecond(ColdServerLimits limits) {
     long[] sentMillis = new long[100_000];
     int sent = 0;
@@ -76,7 +77,7 @@
           sent++;
         }
       }
-      // Those with less than one a second send at moments that are their own.
+      // A router with a share below one request per second still sends one, at a time of its own.
       assertThat(sent * routers / 10.0).isLessThanOrEqualTo(Math.max(20, routers / 10.0));
     }
   }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ConfigurationInForceProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ConfigurationInForceProperties.java
@@ -17,10 +17,10 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * In small zones, and in large ones where most routers follow lookouts, whether or not each view
- * must be confirmed closely: whatever happens to other routers, one that has itself been left alone
- * for the bound, at a store that has been left alone for as long, has every version in force that
- * was acknowledged longer ago than the bound.
+ * A configuration version that the store acknowledged longer ago than the bound is in force at
+ * every router that was undisturbed for the length of the bound, if the store was undisturbed for
+ * as long. Failures of other routers make no difference. This holds in small zones, in large zones
+ * where most routers follow relays, and whether or not every view must be fresh.
  */
 class ConfigurationInForceProperties {
   private static final Duration START = Duration.ofSeconds(8);
@@ -42,7 +42,7 @@
     STORE_AWAY
   }
 
-  /** One event at one router or more, and how long until the next. */
+  /** One event at one or more routers, and the time until the next. */
   record Step(Event event, int pick, int count, int millis) {}
 
   @Provide
@@ -75,10 +75,10 @@
     run.end();
   }
 
-  /** A version, and when the store took it. */
+  /** A version, and when the store acknowledged it. */
   private record Acknowledged(long version, long nanos) {}
 
-  /** One sequence, with what each router may be excused for. */
+  /** One sequence of steps, and when each router and the store were last disturbed. */
   private static final class Run {
     private final FollowerFleet fleet;
     private final long[] disturbedNanos;
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FakeStore.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FakeStore.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A platform's store in virtual time, with the moments of all its changes. */
+/** The platform's store in virtual time, with the time of each change. */
 final class FakeStore {
   static final String CONFIGURATION = "a-configuration";
   private static final int PAGE = 3;
@@ -28,7 +28,7 @@
 
   private Optional<Copy> copy = Optional.empty();
 
-  /** What the store held at some moment, from which it may come back. */
+  /** A backup of the store's contents. */
   private record Copy(TreeMap<String, FeedItem> items, StoreRevision revision) {}
 
   /** A write, or a deletion. */
@@ -55,12 +55,12 @@
     changes.add(new Change(clock.nanoTime(), item));
   }
 
-  /** Keeps a copy, in place of the one before. */
+  /** Takes a backup, which replaces the previous one. */
   void takeCopy() {
     copy = Optional.of(new Copy(new TreeMap<>(items), revision));
   }
 
-  /** Loses what was written since the copy was taken, if there is one. */
+  /** Restores the backup, if there is one, in a new era; later writes are lost. */
   void comeBackOlder() {
     if (copy.isEmpty()) {
       return;
@@ -70,7 +70,7 @@
     changes.clear();
     historyFrom = copy.get().revision().number();
     revision = new StoreRevision(revision.era() + 1, historyFrom);
-    // As the store gives them out now.
+    // After a restore the store returns every item with the new era.
     items.replaceAll((key, item) -> in(revision.era(), item));
   }
 
@@ -106,7 +106,7 @@
     return new FeedAnswer(ImmutableList.copyOf(page), revision, rest.size() > PAGE);
   }
 
-  /** The changes after a revision; empty when they have been forgotten. */
+  /** The changes after a revision; empty if the store no longer has them all. */
   Optional<FeedAnswer> changesAfter(long after) {
     if (after < historyFrom || after > revision.number()) {
       return Optional.empty();
@@ -120,7 +120,7 @@
     return Optional.of(new FeedAnswer(later.build(), revision, false));
   }
 
-  /** Whether a key was deleted after a revision and by another one. */
+  /** Whether a key was deleted after one revision and not after another. */
   boolean wasDeleted(String key, StoreRevision after, StoreRevision until) {
     for (Change change : changes) {
       FeedItem item = change.item();
@@ -132,7 +132,7 @@
     return false;
   }
 
-  /** The newest change of each key at a moment. */
+  /** The latest change of each key up to a time. */
   Map<String, FeedItem> asOf(long nanos) {
     Map<String, FeedItem> newest = new HashMap<>();
     for (Change change : changes) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FixedRouterGroup.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FixedRouterGroup.java
@@ -4,7 +4,7 @@
 import io.arrowarch.core.peer.NearbyRouter;
 import java.util.List;
 
-/** A group of routers that a test sets; searches cannot be handed to them. */
+/** A fixed group of routers for tests; searches cannot be delegated to them. */
 record FixedRouterGroup(int count, List<NearbyRouter> others) implements RouterGroup {
   @Override
   public ImmutableList<NearbyRouter> nearby() {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FollowerFleet.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FollowerFleet.java
@@ -31,8 +31,9 @@
 import java.util.Set;
 
 /**
- * Followers of one store in virtual time, with their relays and their messages: calls take a few
- * milliseconds, and may be refused or swallowed; routers may pause, be cut off or start anew.
+ * A fleet of routers that follow one store in virtual time, with their relays and peer messages.
+ * Calls take a few milliseconds and may be refused or lost. Routers may pause, be partitioned or
+ * restart.
  */
 final class FollowerFleet {
   static final Duration BOUND = Duration.ofSeconds(5);
@@ -48,10 +49,10 @@
   private final boolean everyView;
   int storeCalls;
 
-  /** Those of them that read a page of a listing. */
+  /** The store calls that read a page of a listing. */
   int listingCalls;
 
-  /** A fleet each of whose views must be fresh. */
+  /** Creates and starts a fleet in which every router's view must be fresh. */
   FollowerFleet(int size, int zones, long seed) {
     this(size, zones, seed, true);
   }
@@ -59,7 +60,7 @@
   /**
    * Creates and starts a fleet.
    *
-   * @param everyView whether each view must be fresh, or only those that others follow
+   * @param everyView whether every router's view must be fresh, or only that of relays
    */
   FollowerFleet(int size, int zones, long seed, boolean everyView) {
     this.random = new Random(seed);
@@ -71,11 +72,11 @@
     routers.forEach(Router::start);
   }
 
-  /** How the store treats a router. */
+  /** How a router's calls to the store fare. */
   enum StoreAccess {
     SOUND,
     REFUSED,
-    /** Requests arrive and answers are lost. */
+    /** Requests arrive, but their answers are lost. */
     ANSWERS_LOST,
     CUT
   }
@@ -87,16 +88,16 @@
     boolean paused;
     boolean cutFromPeers;
 
-    /** The newest change of each key that it has been told. */
+    /** The latest change of each key that this router has received. */
     final Map<String, FeedItem> known = new HashMap<>();
 
-    /** The keys that it believes to be there. */
+    /** The keys that exist according to this router. */
     final Set<String> present = new HashSet<>();
 
-    /** The version that it has in force: never an older one than before. */
+    /** The configuration version in force at this router; it never decreases. */
     long version;
 
-    /** Answers to calls that began before are lost. */
+    /** Answers to calls that began at this time or earlier are lost. */
     private long silentUntilNanos = Long.MIN_VALUE;
 
     private final List<Runnable> unread = new ArrayList<>();
@@ -140,7 +141,7 @@
       follower.start();
     }
 
-    /** Its open connections fall silent, without a reset; new ones work. */
+    /** Open connections stop delivering answers, without a reset; new connections work. */
     void silenceConnections() {
       silentUntilNanos = clock.nanoTime();
     }
@@ -149,7 +150,7 @@
       return callNanos <= silentUntilNanos;
     }
 
-    /** The machine stands still, and its steady clock with it. */
+    /** Suspends the machine, whose monotonic clock stops as well. */
     void suspend() {
       paused = true;
       machine.suspend();
@@ -171,7 +172,7 @@
       return "router-" + number;
     }
 
-    /** Whether others are to follow it, as it sees itself. */
+    /** Whether this router considers itself a relay that others follow. */
     boolean isLookout() {
       return relays.isFollowed();
     }
@@ -195,12 +196,12 @@
           ImmutableSet.of());
     }
 
-    /** Lets something happen at this router after a while, unless it has started anew. */
+    /** Runs a task at this router after a delay, unless it has restarted by then. */
     private void later(Duration delay, Runnable task) {
       later(life, delay, task);
     }
 
-    /** The same for the answer to a call that one life of the router has made. */
+    /** Runs a task after a delay, unless the router's incarnation has changed by then. */
     private void later(int ofLife, Duration delay, Runnable task) {
       world.schedule(
           clock.nanoTime() + delay.toNanos(),
@@ -424,7 +425,7 @@
     @Override
     public void onRegained() {}
 
-    /** What the others hear and tell. */
+    /** Exchanges store revisions between this router's follower and its peers. */
     private final class Revisions implements RouterPeers.StoreRevisions {
       @Override
       public StoreNews news() {
@@ -451,7 +452,7 @@
     return Duration.ofNanos(1 + (long) (random.nextDouble() * LONGEST_WAY.toNanos()));
   }
 
-  /** Runs for a while, and something after each millisecond. */
+  /** Advances the fleet in steps of one millisecond and runs a check after each. */
   void run(Duration length, Runnable check) {
     for (long millis = 0; millis < length.toMillis(); millis++) {
       clock.advance(Duration.ofMillis(1));
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FreshnessProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FreshnessProperties.java
@@ -19,15 +19,16 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * The date of a router's view is never later than what it knows: what the store held at that moment
- * is known there, whatever is cut, refused, lost, paused, forgotten or started anew. Hence no
- * request runs under a key that was taken away longer ago than the bound.
+ * A router's view of the store is dated correctly: the router knows everything that the store held
+ * at the date of its view. This holds under network partitions, refused calls, lost answers,
+ * pauses, lost history and restarts. Therefore no request is accepted with an API key that was
+ * revoked longer ago than the bound.
  */
 class FreshnessProperties {
   private static final int KEYS = 5;
   private static final Duration CALM = Duration.ofSeconds(12);
 
-  /** What happens next; {@code pick} chooses among routers and keys. */
+  /** The kinds of events; a step's {@code pick} chooses the router and the key. */
   enum Event {
     WRITE,
     DELETE,
@@ -44,7 +45,7 @@
     SUSPEND
   }
 
-  /** One event, and how long until the next. */
+  /** One event, and the time until the next. */
   record Step(Event event, int pick, int millis) {}
 
   @Provide
@@ -137,10 +138,10 @@
     }
   }
 
-  /** By the date of each view, all that the store held at that moment is known. */
+  /** Checks that each router knows what the store held at the date of the router's view. */
   private static void check(FollowerFleet fleet) {
     for (FollowerFleet.Router router : fleet.routers) {
-      // A machine that is suspended reads no clock.
+      // A suspended machine cannot read its clock, so its view has no age.
       Optional<Duration> age = router.paused ? Optional.empty() : router.follower.view().age();
       if (age.isEmpty()) {
         continue;
@@ -157,7 +158,7 @@
     }
   }
 
-  /** A router that has listed later has never been told of a key that had gone by then. */
+  /** A router that listed the store after a key's deletion never received that key. */
   private static boolean mayHaveGoneUnseen(
       FollowerFleet fleet, FollowerFleet.Router router, FeedItem item) {
     return item.entry().isEmpty()
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FreshnessTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FreshnessTest.java
@@ -6,11 +6,11 @@
 import java.time.Duration;
 import org.testng.annotations.Test;
 
-/** Views of a fleet under the failures that once left routers behind. */
+/** Freshness of the views of a fleet under failures after which routers may miss changes. */
 public final class FreshnessTest {
   private static final Duration START = Duration.ofSeconds(8);
 
-  /** The age up to which requests with keys are served. */
+  /** Requests with API keys are accepted while the view is younger than this. */
   private static final Duration SERVED = FollowerFleet.BOUND.minusMillis(150);
 
   @Test
@@ -20,7 +20,7 @@
     int before = fleet.storeCalls;
     fleet.run(Duration.ofSeconds(30), () -> allFresh(fleet));
 
-    // Two lookouts a zone, a call each 1.5 s.
+    // Each of the four zones has two relays, each of which calls the store every 1.5 s.
     assertThat(fleet.storeCalls - before).isLessThan(8 * 25);
   }
 
@@ -29,7 +29,7 @@
     FollowerFleet fleet = new FollowerFleet(24, 3, 2);
     fleet.store.write("a");
     fleet.run(START, () -> {});
-    // A third of the routers, lookouts among them, hear nothing more from the store.
+    // A third of the routers, relays among them, get no more answers from the store.
     for (FollowerFleet.Router router : fleet.routers.subList(0, 8)) {
       router.access = FollowerFleet.StoreAccess.ANSWERS_LOST;
     }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/MachineClock.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/MachineClock.java
@@ -4,7 +4,7 @@
 import io.arrowarch.core.time.SuspensionLog;
 import java.time.Instant;
 
-/** The clocks of a machine that may be suspended, in a world whose time goes on. */
+/** The clock of a machine that may be suspended while virtual time goes on. */
 final class MachineClock implements RouterClock {
   private final RouterClock world;
   private final SuspensionLog suspensions;
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/OlderStoreFleetTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/OlderStoreFleetTest.java
@@ -5,14 +5,14 @@
 import java.time.Duration;
 import org.testng.annotations.Test;
 
-/** A whole fleet when the store comes back older: how soon it follows, and what that costs. */
+/** After a restore of the store from a backup: how soon a fleet follows, with how many calls. */
 public final class OlderStoreFleetTest {
   private static final Duration START = Duration.ofSeconds(8);
   private static final int ROUTERS = 24;
 
   private static final int LOOKOUTS = 6;
 
-  /** Pages of a listing in these tests. */
+  /** How many pages a listing has in these tests. */
   private static final int PAGES = 4;
 
   private FollowerFleet fleetWithVersion(long version) {
@@ -53,7 +53,7 @@
     fleet.store.comeBackOlder();
     fleet.run(Duration.ofSeconds(5), () -> {});
 
-    // One listing and one failed watch a router at most, beside the usual watches.
+    // Beside its usual watches, each router makes at most one listing and one failed watch.
     assertThat(fleet.storeCalls - before - usual).isLessThanOrEqualTo(ROUTERS * (PAGES + 1));
   }
 
@@ -69,7 +69,7 @@
     int before = fleet.listingCalls;
     fleet.run(Duration.ofSeconds(5), () -> {});
 
-    // The others take it from the lookouts, of which each zone has two.
+    // Only the relays list the store, two in each zone; the other routers list from them.
     assertThat(fleet.listingCalls - before).isLessThanOrEqualTo(LOOKOUTS * PAGES);
     for (FollowerFleet.Router router : fleet.routers) {
       assertThat(router.follower.view().position().era())
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/OlderStoreProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/OlderStoreProperties.java
@@ -17,19 +17,19 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Whatever is cut, refused, lost, paused, forgotten or started anew while the store comes back
- * older again and again: no router goes back to an earlier version within its life, and once all is
- * mended and the writers have written again, every router holds what the store holds, without
- * asking it on and on.
+ * The store is repeatedly restored from older backups, under partitions, refused calls, lost
+ * answers, pauses, lost history and restarts. No router returns to an earlier configuration version
+ * while its process runs. Once all failures have ended and the writers have written again, every
+ * router has the contents of the store and makes only a bounded number of calls.
  */
 class OlderStoreProperties {
   private static final int KEYS = 7;
   private static final Duration CALM = Duration.ofSeconds(12);
 
-  /** A router confirms its view about every second and a half; an era costs it a listing. */
+  /** A router confirms its view about every 1.5 s and lists the store once for each new era. */
   private static final int MOST_CALLS_A_ROUTER_IN_CALM = 40;
 
-  /** What happens next; {@code pick} chooses among routers and keys. */
+  /** The kinds of events; a step's {@code pick} chooses the router and the key. */
   enum Event {
     WRITE,
     DELETE,
@@ -48,7 +48,7 @@
     FORGET_HISTORY
   }
 
-  /** One event, and how long until the next. */
+  /** One event, and the time until the next. */
   record Step(Event event, int pick, int millis) {}
 
   @Provide
@@ -79,7 +79,7 @@
     run.end();
   }
 
-  /** One sequence, with what operator and servers hold to be true. */
+  /** One sequence of steps, with the values that the operator and the servers want stored. */
   private static final class Run {
     private final FollowerFleet fleet;
     private final Map<Integer, Long> versions = new HashMap<>();
@@ -136,7 +136,7 @@
       versions.remove(router.number);
     }
 
-    /** Every writer writes what it holds to be true, and takes away what it does not. */
+    /** Every writer writes its current values again and deletes the keys that should not exist. */
     private void writeAgain() {
       fleet.store.configure(version);
       for (int key = 0; key < KEYS; key++) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RestartedServerTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RestartedServerTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A server that starts again under its name is another one, of which nothing is known. */
+/** A server that restarts under its name is a new server: nothing known of the old one applies. */
 public final class RestartedServerTest {
   private static final StoreRevision REVISION = new StoreRevision(1, 7);
   private static final String KEY = "k";
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPair.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPair.java
@@ -11,31 +11,32 @@
 import java.util.Optional;
 
 /**
- * Two routers in virtual time: all shards have servers near the second, only some near the first.
- * What the first hands to the second waits until the test delivers it, and so do the replies.
+ * Two routers in virtual time. Every shard has servers in the zone of the second router, only some
+ * have servers in the zone of the first. Searches that the first delegates to the second, and the
+ * replies, wait until the test delivers them.
  */
 final class RouterPair implements RouterGroup, DelegateTransport {
   static final ImmutableList<String> SHARDS = ImmutableList.of("s1", "s2", "s3", "s4", "s5", "s6");
 
   private static final ImmutableList<String> NEAR_BOTH = SHARDS.subList(0, 3);
 
-  /** So many that servers have no connections for all of them. */
+  /** Too many routers for each to have its own connections to every server. */
   private static final int ROUTERS = 20;
 
   private static final NearbyRouter DELEGATE =
       new NearbyRouter("router-b", 1, "zone-b", "10.0.0.2:1", 1);
 
-  /** Past the first window, in which there is no share of the allowance. */
+  /** Later than the first window, in which routers have no allowance of extra attempts. */
   private static final Duration AGE = Duration.ofSeconds(11);
 
   final FakeClock clock = new FakeClock();
   final ForwardFixture near;
   final ForwardFixture far;
 
-  /** What the first router has handed on and the second has not taken, by number. */
+  /** Searches that the first router has delegated and the second has not received, by number. */
   final Map<Long, DelegatedSearch> underWay = new HashMap<>();
 
-  /** Replies that the first router has not got, by number. */
+  /** Replies that the first router has not received, by number. */
   final Map<Long, DelegateReply> replies = new HashMap<>();
 
   final List<Long> cancelled = new ArrayList<>();
@@ -72,17 +73,19 @@
     far.route(version, true, SHARDS.toArray(new String[0]));
   }
 
-  /** The second router knows a later version, in which the index is cut into fewer shards. */
+  /** Gives the second router a later version in which the index has fewer shards. */
   void cutFarIntoFewerShards(long version) {
     far.route(version, true, SHARDS.subList(0, SHARDS.size() - 1).toArray(new String[0]));
   }
 
-  /** The second router knows a later version, in which the route is no search. */
+  /**
+   * Gives the second router a later version in which the route goes to one server, not a search.
+   */
   void routeFarToOneServer(long version) {
     far.route(version, true, "s");
   }
 
-  /** A third router beside the second. */
+  /** Adds a second delegate in the same zone. */
   void addDelegate() {
     nearby =
         ImmutableList.of(
@@ -93,7 +96,7 @@
     nearby = ImmutableList.of();
   }
 
-  /** Lets the second router take one search. */
+  /** Delivers one delegated search to the second router. */
   void deliver(long number) {
     DelegatedSearch search = underWay.remove(number);
     Optional.ofNullable(search)
@@ -104,7 +107,7 @@
                     far.coordinator.submitDelegated(taken, reply -> replies.put(number, reply))));
   }
 
-  /** Lets the first router get one reply. */
+  /** Delivers one reply to the first router. */
   void reply(long number) {
     Optional.ofNullable(replies.remove(number))
         .ifPresent(reply -> near.coordinator.onDelegateReply(number, reply));
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPeersTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPeersTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Several routers' views over a network in virtual time that may lose routers. */
+/** Several routers that gossip over a simulated network in virtual time; routers may die. */
 public final class RouterPeersTest {
   private final FakeClock clock = new FakeClock();
   private final Map<String, RouterPeers> routers = new HashMap<>();
@@ -117,15 +117,15 @@
     }
     run(Duration.ofSeconds(3));
     seen.put("r8", 70L);
-    // One ping a period, of 1.5 s at most, to each of the seven others in turn.
+    // Each period, of at most 1.5 s, pings one of the seven other routers in turn.
     run(Duration.ofSeconds(12));
 
     assertThat(heard).containsEntry("r1", 70L).containsEntry("r4", 70L).containsEntry("r7", 70L);
   }
 
   /**
-   * A router restarts while an ack to its last life is on its way, or lies unread at one that
-   * stands still: as an answer to a new ping it would date the view later than it was.
+   * A router restarts while an ack to its previous incarnation is still in transit or unread. If
+   * the ack were matched with a ping of the new incarnation, the view would be dated too late.
    */
   @Test
   public void anAckToAnEarlierLifeDatesNothing() {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/SilentRelaysFleetTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/SilentRelaysFleetTest.java
@@ -7,15 +7,12 @@
 import org.testng.annotations.Test;
 
 /**
- * Both relays of a zone stood still or could not be reached, without a reset. A router that follows
- * them waited two seconds for one, two seconds for the other, and then asked the first again: that
- * had failed two seconds ago, and was avoided for just as long. So the router never came to ask the
- * store, which would have told it at once, until the others held the relays to be dead or told it
- * that it was behind.
- *
- * <p>Of the router that showed it: a call to one relay at 9.04 s, to the other at 11.04 s, to the
- * first again at 13.04 s; a version acknowledged at 9.87 s was in force at 14.91 s, when another
- * router's word made it leave that call.
+ * Guards against a router that alternates between two silent relays. Both relays of its zone stall
+ * or become unreachable without a reset. A call to a relay times out after two seconds, and the
+ * relay is then avoided for just as long. When the call to the second relay times out, the first
+ * may be chosen again, so that the router never asks the store, which would answer at once. It then
+ * stays behind until the other routers declare the relays dead or tell it that it is behind. In the
+ * original fault a version came into force after 5.04 s, beyond the bound of 5 s.
  */
 public final class SilentRelaysFleetTest {
   private static final int ROUTERS = 60;
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/SilentStoreFleetTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/SilentStoreFleetTest.java
@@ -7,17 +7,13 @@
 import org.testng.annotations.Test;
 
 /**
- * The store was silent for some seconds. Both lookouts of each zone noticed it and told their
- * followers that they could not be followed, so that these watched the store themselves, with the
- * wait of 25 s that was meant for routers which others would tell. The store never answered that
- * call, and when it was back nothing ended it but news of a router that was ahead. Only the
- * lookouts were ahead, six of sixty, and a router hears of two others a second: some routers
- * handled requests by a version that had been replaced long before.
- *
- * <p>A router of 48 real processes logged {@code store state=follows reason="the store"
- * revision=134} at 31:54.0. The store was back for five seconds and version 9 acknowledged for as
- * long when it still refused a path with {@code version=8 viewAgeMs=8099} at 32:00.0; {@code store
- * state=behind revision=135} and {@code configuration version=9 outcome=taken} follow at 32:01.5.
+ * Guards against watches that outlast an outage of the store. While the store is silent, the relays
+ * of each zone tell their followers that they cannot be followed, and the followers watch the store
+ * themselves. If they do so with the wait of 25 s that is meant for routers which relays keep
+ * informed, the store never answers those calls, and after the outage only news of a router that is
+ * ahead ends them. Only the relays are ahead, six of sixty routers, and a router hears of two
+ * others each second. Some routers would then serve a version that was replaced longer ago than the
+ * bound.
  */
 public final class SilentStoreFleetTest {
   private static final int ROUTERS = 60;
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/WatchRelaysTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/WatchRelaysTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** Which routers watch the store closely. */
+/** Which routers are watch relays, and which relay each of the others follows. */
 public final class WatchRelaysTest {
   private final FakeClock clock = new FakeClock();
 
