--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ColdServerLimits.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ColdServerLimits.java
@@ -51,7 +51,9 @@
       return true;
     }
     double ownRate =
-        SAFETY_FACTOR * rules.mostInASecond(rate) * share.applyAsDouble(server.entry().service());
+        SAFETY_FACTOR
+            * rules.maxRequestsPerSecond(rate)
+            * share.applyAsDouble(server.entry().service());
     return ownRate > 0
         && count(server, windowNanos(ownRate), nowNanos) < Math.max(1, Math.floor(ownRate));
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ColdServerRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ColdServerRules.java
@@ -17,7 +17,7 @@
   }
 
   /** The most requests that a cold server may get in any second. */
-  double mostInASecond(double rate) {
+  double maxRequestsPerSecond(double rate) {
     return rate * overshoot + slack;
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ColdServerLimitsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ColdServerLimitsTest.java
@@ -40,7 +40,7 @@
   }
 
   /** The most requests in any second from a router that sends whenever it is allowed to. */
-  private int mostInASecond(ColdServerLimits limits) {
+  private int maxInAnySecond(ColdServerLimits limits) {
     long[] sentMillis = new long[100_000];
     int sent = 0;
     int most = 0;
@@ -62,7 +62,7 @@
 
   @Test
   public void oneRouterAloneStaysBelowTheBoundInAnySecond() {
-    assertThat(mostInASecond(limits(10, 1))).isBetween(10, 20);
+    assertThat(maxInAnySecond(limits(10, 1))).isBetween(10, 20);
   }
 
   @Test
@@ -94,7 +94,7 @@
   }
 
   @Test
-  public void whereNoRateIsToldThereIsNoLimit() {
+  public void aServiceWithoutARateHasNoLimit() {
     ColdServerLimits limits = limits(0, 1);
     for (int i = 0; i < 100; i++) {
       assertThat(limits.admits(server, 0)).isTrue();
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ConfigurationInForceProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ConfigurationInForceProperties.java
@@ -24,22 +24,22 @@
  */
 class ConfigurationInForceProperties {
   private static final Duration START = Duration.ofSeconds(8);
-  private static final Duration CALM = Duration.ofSeconds(8);
+  private static final Duration RECOVERY_TIME = Duration.ofSeconds(8);
 
   enum Event {
     CONFIGURE,
-    STORM,
+    WRITE_BURST,
     REFUSE,
     LOSE_ANSWERS,
-    CUT_FROM_STORE,
-    CUT_FROM_PEERS,
-    MEND,
+    PARTITION_FROM_STORE,
+    PARTITION_FROM_PEERS,
+    RECOVER,
     PAUSE,
     RESTART,
     RESTART_MANY,
     FORGET_HISTORY,
     SILENCE_ALL_CONNECTIONS,
-    STORE_AWAY
+    STORE_OUTAGE
   }
 
   /** One event at one or more routers, and the time until the next. */
@@ -62,7 +62,7 @@
   }
 
   @Property(tries = 200, seed = "20261205", shrinking = ShrinkingMode.OFF)
-  void whatWasAcknowledgedIsInForceWhereNothingIsAmiss(
+  void acknowledgedVersionsAreInForceAtUndisturbedRouters(
       @ForAll("steps") List<Step> steps,
       @ForAll @IntRange(min = 2, max = 42) int routers,
       @ForAll @IntRange(min = 1, max = 3) int zones,
@@ -84,7 +84,7 @@
     private final long[] disturbedNanos;
     private final List<Acknowledged> acknowledged = new ArrayList<>();
     private long storeDisturbedNanos;
-    private boolean storeAway;
+    private boolean storeDown;
     private long version;
 
     Run(FollowerFleet fleet) {
@@ -105,13 +105,13 @@
     }
 
     void apply(Step step) {
-      if (step.event() == Event.STORE_AWAY) {
-        storeAway = true;
+      if (step.event() == Event.STORE_OUTAGE) {
+        storeDown = true;
         fleet.routers.forEach(
             router ->
                 router.access =
                     step.pick() % 2 == 0
-                        ? FollowerFleet.StoreAccess.CUT
+                        ? FollowerFleet.StoreAccess.UNREACHABLE
                         : FollowerFleet.StoreAccess.REFUSED);
       }
       for (int i = 0; i < step.count(); i++) {
@@ -128,12 +128,12 @@
             configure();
           }
         }
-        case STORM -> configure();
+        case WRITE_BURST -> configure();
         case REFUSE -> router.access = FollowerFleet.StoreAccess.REFUSED;
         case LOSE_ANSWERS -> router.access = FollowerFleet.StoreAccess.ANSWERS_LOST;
-        case CUT_FROM_STORE -> router.access = FollowerFleet.StoreAccess.CUT;
-        case CUT_FROM_PEERS -> router.cutFromPeers = true;
-        case MEND -> mendAll();
+        case PARTITION_FROM_STORE -> router.access = FollowerFleet.StoreAccess.UNREACHABLE;
+        case PARTITION_FROM_PEERS -> router.partitionedFromPeers = true;
+        case RECOVER -> recoverAll();
         case PAUSE -> router.paused = true;
         case RESTART, RESTART_MANY -> {
           if (first || event == Event.RESTART_MANY) {
@@ -150,7 +150,7 @@
           fleet.routers.forEach(FollowerFleet.Router::silenceConnections);
           fleet.routers.forEach(this::disturb);
         }
-        case STORE_AWAY -> {}
+        case STORE_OUTAGE -> {}
       }
     }
 
@@ -158,11 +158,11 @@
       disturbedNanos[router.number] = fleet.clock.nanoTime();
     }
 
-    private void mendAll() {
-      storeAway = false;
+    private void recoverAll() {
+      storeDown = false;
       for (FollowerFleet.Router router : fleet.routers) {
-        router.access = FollowerFleet.StoreAccess.SOUND;
-        router.cutFromPeers = false;
+        router.access = FollowerFleet.StoreAccess.NORMAL;
+        router.partitionedFromPeers = false;
         if (router.paused) {
           router.wake();
         }
@@ -171,35 +171,35 @@
 
     private void check() {
       long nowNanos = fleet.clock.nanoTime();
-      if (storeAway) {
+      if (storeDown) {
         storeDisturbedNanos = nowNanos;
       }
       for (FollowerFleet.Router router : fleet.routers) {
-        if (router.paused || router.access != FollowerFleet.StoreAccess.SOUND) {
+        if (router.paused || router.access != FollowerFleet.StoreAccess.NORMAL) {
           disturb(router);
         }
-        long calmSince = Math.max(disturbedNanos[router.number], storeDisturbedNanos);
-        if (nowNanos - calmSince > FollowerFleet.BOUND.toNanos()) {
+        long undisturbedSinceNanos = Math.max(disturbedNanos[router.number], storeDisturbedNanos);
+        if (nowNanos - undisturbedSinceNanos > FollowerFleet.BOUND.toNanos()) {
           assertThat(router.version)
               .as("version at router %s after %s", router.number, Duration.ofNanos(nowNanos))
-              .isGreaterThanOrEqualTo(due(nowNanos));
+              .isGreaterThanOrEqualTo(requiredVersion(nowNanos));
         }
       }
     }
 
-    private long due(long nowNanos) {
-      long due = 0;
+    private long requiredVersion(long nowNanos) {
+      long requiredVersion = 0;
       for (Acknowledged taken : acknowledged) {
         if (nowNanos - taken.nanos() > FollowerFleet.BOUND.toNanos()) {
-          due = taken.version();
+          requiredVersion = taken.version();
         }
       }
-      return due;
+      return requiredVersion;
     }
 
     void end() {
-      mendAll();
-      fleet.run(CALM, this::check);
+      recoverAll();
+      fleet.run(RECOVERY_TIME, this::check);
     }
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FakeStore.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FakeStore.java
@@ -26,10 +26,10 @@
   private StoreRevision revision = new StoreRevision(1, 100);
   private long historyFrom = 100;
 
-  private Optional<Copy> copy = Optional.empty();
+  private Optional<Backup> backup = Optional.empty();
 
   /** A backup of the store's contents. */
-  private record Copy(TreeMap<String, FeedItem> items, StoreRevision revision) {}
+  private record Backup(TreeMap<String, FeedItem> items, StoreRevision revision) {}
 
   /** A write, or a deletion. */
   record Change(long nanos, FeedItem item) {}
@@ -56,19 +56,19 @@
   }
 
   /** Takes a backup, which replaces the previous one. */
-  void takeCopy() {
-    copy = Optional.of(new Copy(new TreeMap<>(items), revision));
+  void takeBackup() {
+    backup = Optional.of(new Backup(new TreeMap<>(items), revision));
   }
 
   /** Restores the backup, if there is one, in a new era; later writes are lost. */
-  void comeBackOlder() {
-    if (copy.isEmpty()) {
+  void restoreBackup() {
+    if (backup.isEmpty()) {
       return;
     }
     items.clear();
-    items.putAll(copy.get().items());
+    items.putAll(backup.get().items());
     changes.clear();
-    historyFrom = copy.get().revision().number();
+    historyFrom = backup.get().revision().number();
     revision = new StoreRevision(revision.era() + 1, historyFrom);
     // After a restore the store returns every item with the new era.
     items.replaceAll((key, item) -> in(revision.era(), item));
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FollowerFleet.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FollowerFleet.java
@@ -38,12 +38,12 @@
 final class FollowerFleet {
   static final Duration BOUND = Duration.ofSeconds(5);
   private static final ImmutableList<String> CONTACTS = ImmutableList.of("router-0", "router-1");
-  private static final Duration LONGEST_WAY = Duration.ofMillis(4);
+  private static final Duration MAX_LATENCY = Duration.ofMillis(4);
 
   final FakeClock clock = new FakeClock();
   final FakeStore store = new FakeStore(clock);
   final List<Router> routers = new ArrayList<>();
-  private final TimerQueue world = new TimerQueue();
+  private final TimerQueue fleetTimers = new TimerQueue();
   private final Random random;
   private final int zones;
   private final boolean everyView;
@@ -74,19 +74,19 @@
 
   /** How a router's calls to the store fare. */
   enum StoreAccess {
-    SOUND,
+    NORMAL,
     REFUSED,
     /** Requests arrive, but their answers are lost. */
     ANSWERS_LOST,
-    CUT
+    UNREACHABLE
   }
 
   /** One router. */
   final class Router implements FeedTransport, FeedListener, PeerTransport, RouterGroup {
     final int number;
-    StoreAccess access = StoreAccess.SOUND;
+    StoreAccess access = StoreAccess.NORMAL;
     boolean paused;
-    boolean cutFromPeers;
+    boolean partitionedFromPeers;
 
     /** The latest change of each key that this router has received. */
     final Map<String, FeedItem> known = new HashMap<>();
@@ -103,7 +103,7 @@
     private final List<Runnable> unread = new ArrayList<>();
     private final MachineClock machine = new MachineClock(clock);
     private TimerQueue timers = new TimerQueue();
-    private int life;
+    private int incarnation;
     StoreFollower follower;
     private WatchRelays relays;
     private RouterPeers peers;
@@ -113,7 +113,7 @@
     }
 
     void start() {
-      life++;
+      incarnation++;
       machine.wake();
       known.clear();
       present.clear();
@@ -121,7 +121,7 @@
       unread.clear();
       paused = false;
       timers = new TimerQueue();
-      Random own = new Random(number + 1_000L * life);
+      Random own = new Random(number + 1_000L * incarnation);
       peers =
           new RouterPeers(
               record(),
@@ -165,7 +165,7 @@
     }
 
     private MemberRecord record() {
-      return new MemberRecord(id(), zone(), id(), 1, life, 0, MemberRecord.State.ALIVE);
+      return new MemberRecord(id(), zone(), id(), 1, incarnation, 0, MemberRecord.State.ALIVE);
     }
 
     private String id() {
@@ -198,15 +198,15 @@
 
     /** Runs a task at this router after a delay, unless it has restarted by then. */
     private void later(Duration delay, Runnable task) {
-      later(life, delay, task);
+      later(incarnation, delay, task);
     }
 
     /** Runs a task after a delay, unless the router's incarnation has changed by then. */
-    private void later(int ofLife, Duration delay, Runnable task) {
-      world.schedule(
+    private void later(int expectedIncarnation, Duration delay, Runnable task) {
+      fleetTimers.schedule(
           clock.nanoTime() + delay.toNanos(),
           () -> {
-            if (ofLife != life) {
+            if (expectedIncarnation != incarnation) {
               return;
             }
             if (paused) {
@@ -219,48 +219,52 @@
 
     @Override
     public void list(long call, Optional<String> afterKey, Duration timeout) {
-      int caller = life;
+      int callerIncarnation = incarnation;
       listingCalls++;
-      callStore(call, timeout, () -> answer(caller, call, store.list(afterKey)));
+      callStore(call, timeout, () -> answer(callerIncarnation, call, store.list(afterKey)));
     }
 
     @Override
     public void watch(long call, StoreRevision after, Duration wait, Duration timeout) {
-      int caller = life;
+      int callerIncarnation = incarnation;
       long untilNanos = clock.nanoTime() + wait.toNanos();
-      callStore(call, timeout, () -> holdWatch(caller, call, after, clock.nanoTime(), untilNanos));
+      callStore(
+          call,
+          timeout,
+          () -> holdWatch(callerIncarnation, call, after, clock.nanoTime(), untilNanos));
     }
 
     private void callStore(long call, Duration timeout, Runnable atStore) {
       storeCalls++;
       later(timeout, () -> follower.onFailure(call, FeedFailure.NO_ANSWER));
       if (access == StoreAccess.REFUSED) {
-        later(way(), () -> follower.onFailure(call, FeedFailure.UNAVAILABLE));
-      } else if (access != StoreAccess.CUT) {
-        world.schedule(clock.nanoTime() + way().toNanos(), atStore);
+        later(latency(), () -> follower.onFailure(call, FeedFailure.UNAVAILABLE));
+      } else if (access != StoreAccess.UNREACHABLE) {
+        fleetTimers.schedule(clock.nanoTime() + latency().toNanos(), atStore);
       }
     }
 
     private void holdWatch(
-        int caller, long call, StoreRevision after, long beganNanos, long untilNanos) {
+        int callerIncarnation, long call, StoreRevision after, long beganNanos, long untilNanos) {
       if (isSilent(beganNanos)) {
         return;
       }
       Optional<FeedAnswer> changes = store.changesAfter(after.number());
       if (changes.isEmpty()) {
-        later(caller, way(), () -> follower.onFailure(call, FeedFailure.HISTORY_GONE));
+        later(
+            callerIncarnation, latency(), () -> follower.onFailure(call, FeedFailure.HISTORY_GONE));
       } else if (!changes.get().items().isEmpty() || clock.nanoTime() >= untilNanos) {
-        answer(caller, call, changes.get());
+        answer(callerIncarnation, call, changes.get());
       } else {
-        world.schedule(
+        fleetTimers.schedule(
             clock.nanoTime() + 1_000_000,
-            () -> holdWatch(caller, call, after, beganNanos, untilNanos));
+            () -> holdWatch(callerIncarnation, call, after, beganNanos, untilNanos));
       }
     }
 
-    private void answer(int caller, long call, FeedAnswer answer) {
-      if (access == StoreAccess.SOUND) {
-        later(caller, way(), () -> follower.onAnswer(call, answer));
+    private void answer(int callerIncarnation, long call, FeedAnswer answer) {
+      if (access == StoreAccess.NORMAL) {
+        later(callerIncarnation, latency(), () -> follower.onAnswer(call, answer));
       }
     }
 
@@ -269,20 +273,21 @@
         long call, String address, StoreRevision after, Duration wait, Duration timeout) {
       later(timeout, () -> follower.onFailure(call, FeedFailure.NO_ANSWER));
       Router relay = find(address);
-      int caller = life;
+      int callerIncarnation = incarnation;
       if (reaches(relay)) {
         relay.later(
-            way(),
+            latency(),
             () -> {
               long untilNanos = clock.nanoTime() + wait.toNanos();
-              relay.holdFeed(this, caller, call, after, relay.machine.nanoTime(), untilNanos);
+              relay.holdFeed(
+                  this, callerIncarnation, call, after, relay.machine.nanoTime(), untilNanos);
             });
       }
     }
 
     private void holdFeed(
         Router asker,
-        int caller,
+        int callerIncarnation,
         long call,
         StoreRevision after,
         long receivedNanos,
@@ -294,28 +299,35 @@
       if (follower.view().isBetweenEras() && !waitIsOver) {
         later(
             Duration.ofMillis(5),
-            () -> holdFeed(asker, caller, call, after, receivedNanos, untilNanos));
+            () -> holdFeed(asker, callerIncarnation, call, after, receivedNanos, untilNanos));
         return;
       }
       Optional<FeedAnswer> changes = follower.view().changesAfter(after);
       if (!follower.mayBeFollowed(after)) {
-        reply(asker, caller, () -> asker.follower.onFailure(call, FeedFailure.UNAVAILABLE));
+        reply(
+            asker,
+            callerIncarnation,
+            () -> asker.follower.onFailure(call, FeedFailure.UNAVAILABLE));
       } else if (changes.isEmpty()) {
-        reply(asker, caller, () -> asker.follower.onFailure(call, FeedFailure.HISTORY_GONE));
+        reply(
+            asker,
+            callerIncarnation,
+            () -> asker.follower.onFailure(call, FeedFailure.HISTORY_GONE));
       } else if (!changes.get().items().isEmpty() || clock.nanoTime() >= untilNanos) {
         Optional<Duration> age = follower.view().ageAt(receivedNanos);
-        reply(asker, caller, () -> asker.follower.onPeerChanges(call, changes.get(), age));
+        reply(
+            asker, callerIncarnation, () -> asker.follower.onPeerChanges(call, changes.get(), age));
       } else {
         later(
             Duration.ofMillis(5),
-            () -> holdFeed(asker, caller, call, after, receivedNanos, untilNanos));
+            () -> holdFeed(asker, callerIncarnation, call, after, receivedNanos, untilNanos));
       }
     }
 
     @Override
     public void listFromPeer(String address) {
       Router other = find(address);
-      int caller = life;
+      int callerIncarnation = incarnation;
       boolean[] ended = {false};
       Runnable fail =
           () -> {
@@ -329,13 +341,13 @@
         return;
       }
       other.later(
-          way(),
+          latency(),
           () -> {
             Optional<FeedAnswer> held = other.follower.view().snapshot();
             Optional<Duration> age = other.follower.view().ageAt(other.machine.nanoTime());
             other.reply(
                 this,
-                caller,
+                callerIncarnation,
                 () -> {
                   if (held.isEmpty()) {
                     fail.run();
@@ -347,21 +359,21 @@
           });
     }
 
-    private void reply(Router asker, int caller, Runnable task) {
+    private void reply(Router asker, int callerIncarnation, Runnable task) {
       if (reaches(asker)) {
-        asker.later(caller, way(), task);
+        asker.later(callerIncarnation, latency(), task);
       }
     }
 
     private boolean reaches(Router other) {
-      return !cutFromPeers && !other.cutFromPeers;
+      return !partitionedFromPeers && !other.partitionedFromPeers;
     }
 
     @Override
     public void send(String address, PeerMessage message) {
       Router to = find(address);
       if (reaches(to)) {
-        to.later(way(), () -> to.peers.onMessage(message));
+        to.later(latency(), () -> to.peers.onMessage(message));
       }
     }
 
@@ -448,15 +460,15 @@
     return routers.get(Integer.parseInt(id.substring("router-".length())));
   }
 
-  private Duration way() {
-    return Duration.ofNanos(1 + (long) (random.nextDouble() * LONGEST_WAY.toNanos()));
+  private Duration latency() {
+    return Duration.ofNanos(1 + (long) (random.nextDouble() * MAX_LATENCY.toNanos()));
   }
 
   /** Advances the fleet in steps of one millisecond and runs a check after each. */
   void run(Duration length, Runnable check) {
     for (long millis = 0; millis < length.toMillis(); millis++) {
       clock.advance(Duration.ofMillis(1));
-      world.runDue(clock.nanoTime());
+      fleetTimers.runDue(clock.nanoTime());
       for (Router router : routers) {
         if (!router.paused) {
           router.timers.runDue(router.machine.nanoTime());
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FreshnessProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FreshnessProperties.java
@@ -26,7 +26,7 @@
  */
 class FreshnessProperties {
   private static final int KEYS = 5;
-  private static final Duration CALM = Duration.ofSeconds(12);
+  private static final Duration RECOVERY_TIME = Duration.ofSeconds(12);
 
   /** The kinds of events; a step's {@code pick} chooses the router and the key. */
   enum Event {
@@ -34,10 +34,10 @@
     DELETE,
     REFUSE,
     LOSE_ANSWERS,
-    CUT_FROM_STORE,
-    CUT_FROM_PEERS,
-    CUT_OFF,
-    MEND,
+    PARTITION_FROM_STORE,
+    PARTITION_FROM_PEERS,
+    ISOLATE,
+    RECOVER,
     PAUSE,
     RESTART,
     RESTART_ALL,
@@ -78,7 +78,7 @@
   }
 
   @Property(tries = 60, seed = "20261203", shrinking = ShrinkingMode.OFF)
-  void norIsOneOfAMachineThatWasSuspended(
+  void noViewIsDatedLaterThanWhatItKnowsAfterSuspensions(
       @ForAll("stepsWithSuspensions") List<Step> steps,
       @ForAll @IntRange(min = 2, max = 24) int routers,
       @ForAll @IntRange(min = 1, max = 3) int zones) {
@@ -94,8 +94,8 @@
       apply(fleet, step);
       fleet.run(Duration.ofMillis(step.millis()), () -> check(fleet));
     }
-    mendAll(fleet);
-    fleet.run(CALM, () -> check(fleet));
+    recoverAll(fleet);
+    fleet.run(RECOVERY_TIME, () -> check(fleet));
     for (FollowerFleet.Router router : fleet.routers) {
       assertThat(router.follower.view().age()).as("age at " + router.number).isPresent();
       assertThat(router.follower.view().age().get()).isLessThan(FollowerFleet.BOUND);
@@ -110,13 +110,13 @@
       case DELETE -> fleet.store.delete(key);
       case REFUSE -> router.access = FollowerFleet.StoreAccess.REFUSED;
       case LOSE_ANSWERS -> router.access = FollowerFleet.StoreAccess.ANSWERS_LOST;
-      case CUT_FROM_STORE -> router.access = FollowerFleet.StoreAccess.CUT;
-      case CUT_FROM_PEERS -> router.cutFromPeers = true;
-      case CUT_OFF -> {
-        router.access = FollowerFleet.StoreAccess.CUT;
-        router.cutFromPeers = true;
+      case PARTITION_FROM_STORE -> router.access = FollowerFleet.StoreAccess.UNREACHABLE;
+      case PARTITION_FROM_PEERS -> router.partitionedFromPeers = true;
+      case ISOLATE -> {
+        router.access = FollowerFleet.StoreAccess.UNREACHABLE;
+        router.partitionedFromPeers = true;
       }
-      case MEND -> mendAll(fleet);
+      case RECOVER -> recoverAll(fleet);
       case PAUSE -> router.paused = true;
       case SUSPEND -> router.suspend();
       case RESTART -> router.start();
@@ -128,10 +128,10 @@
     }
   }
 
-  private static void mendAll(FollowerFleet fleet) {
+  private static void recoverAll(FollowerFleet fleet) {
     for (FollowerFleet.Router router : fleet.routers) {
-      router.access = FollowerFleet.StoreAccess.SOUND;
-      router.cutFromPeers = false;
+      router.access = FollowerFleet.StoreAccess.NORMAL;
+      router.partitionedFromPeers = false;
       if (router.paused) {
         router.wake();
       }
@@ -149,7 +149,7 @@
       Map<String, FeedItem> held = fleet.store.asOf(fleet.clock.nanoTime() - age.get().toNanos());
       for (FeedItem item : held.values()) {
         FeedItem known = router.known.get(item.key());
-        if (known == null && mayHaveGoneUnseen(fleet, router, item)) {
+        if (known == null && mayHaveMissedDeletedKey(fleet, router, item)) {
           continue;
         }
         assertThat(known).as("%s at router %s", item.key(), router.number).isNotNull();
@@ -159,7 +159,7 @@
   }
 
   /** A router that listed the store after a key's deletion never received that key. */
-  private static boolean mayHaveGoneUnseen(
+  private static boolean mayHaveMissedDeletedKey(
       FollowerFleet fleet, FollowerFleet.Router router, FeedItem item) {
     return item.entry().isEmpty()
         || fleet.store.wasDeleted(item.key(), item.revision(), router.follower.view().position());
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FreshnessTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FreshnessTest.java
@@ -11,21 +11,21 @@
   private static final Duration START = Duration.ofSeconds(8);
 
   /** Requests with API keys are accepted while the view is younger than this. */
-  private static final Duration SERVED = FollowerFleet.BOUND.minusMillis(150);
+  private static final Duration MAX_ACCEPTED_AGE = FollowerFleet.BOUND.minusMillis(150);
 
   @Test
-  public void inCalmTimesEveryViewIsFreshAndFewRoutersCallTheStore() {
+  public void withoutFailuresEveryViewIsFreshAndFewRoutersCallTheStore() {
     FollowerFleet fleet = new FollowerFleet(40, 4, 1);
     fleet.run(START, () -> {});
     int before = fleet.storeCalls;
-    fleet.run(Duration.ofSeconds(30), () -> allFresh(fleet));
+    fleet.run(Duration.ofSeconds(30), () -> assertAllFresh(fleet));
 
     // Each of the four zones has two relays, each of which calls the store every 1.5 s.
     assertThat(fleet.storeCalls - before).isLessThan(8 * 25);
   }
 
   @Test
-  public void followersOfALookoutThatIsCutOffHearOfAChangeWithinTheBound() {
+  public void followersOfAPartitionedRelayReceiveAChangeWithinTheBound() {
     FollowerFleet fleet = new FollowerFleet(24, 3, 2);
     fleet.store.write("a");
     fleet.run(START, () -> {});
@@ -52,23 +52,24 @@
         router.access = FollowerFleet.StoreAccess.REFUSED;
       }
     }
-    fleet.run(Duration.ofSeconds(9), () -> allFresh(fleet));
+    fleet.run(Duration.ofSeconds(9), () -> assertAllFresh(fleet));
   }
 
   @Test
-  public void whoIsCutOffFromAllKnowsThatItsViewIsOld() {
+  public void anIsolatedRouterKnowsThatItsViewIsOld() {
     FollowerFleet fleet = new FollowerFleet(12, 3, 4);
     fleet.run(START, () -> {});
-    FollowerFleet.Router lonely = fleet.routers.get(5);
-    lonely.access = FollowerFleet.StoreAccess.CUT;
-    lonely.cutFromPeers = true;
+    FollowerFleet.Router isolated = fleet.routers.get(5);
+    isolated.access = FollowerFleet.StoreAccess.UNREACHABLE;
+    isolated.partitionedFromPeers = true;
     fleet.run(FollowerFleet.BOUND, () -> {});
 
-    assertThat(lonely.follower.view().age().orElseThrow()).isGreaterThanOrEqualTo(SERVED);
+    assertThat(isolated.follower.view().age().orElseThrow())
+        .isGreaterThanOrEqualTo(MAX_ACCEPTED_AGE);
   }
 
   @Test
-  public void whoWakesUpAfterTenSecondsKnowsThatItsViewIsOld() {
+  public void aRouterPausedForTenSecondsKnowsThatItsViewIsOld() {
     FollowerFleet fleet = new FollowerFleet(12, 3, 5);
     fleet.run(START, () -> {});
     FollowerFleet.Router sleeper = fleet.routers.get(2);
@@ -78,32 +79,32 @@
 
     assertThat(sleeper.follower.view().age().orElseThrow()).isGreaterThan(Duration.ofSeconds(8));
     fleet.run(Duration.ofSeconds(2), () -> {});
-    assertThat(sleeper.follower.view().age().orElseThrow()).isLessThan(SERVED);
+    assertThat(sleeper.follower.view().age().orElseThrow()).isLessThan(MAX_ACCEPTED_AGE);
   }
 
   @Test
-  public void whoseMachineWasSuspendedForTenSecondsKnowsThatItsViewIsOld() {
+  public void aRouterSuspendedForTenSecondsKnowsThatItsViewIsOld() {
     FollowerFleet fleet = new FollowerFleet(12, 3, 6);
     fleet.run(START, () -> {});
     FollowerFleet.Router sleeper = fleet.routers.get(2);
-    sleeper.access = FollowerFleet.StoreAccess.CUT;
-    sleeper.cutFromPeers = true;
+    sleeper.access = FollowerFleet.StoreAccess.UNREACHABLE;
+    sleeper.partitionedFromPeers = true;
     sleeper.suspend();
     fleet.run(Duration.ofSeconds(10), () -> {});
     sleeper.wake();
 
     assertThat(sleeper.follower.view().age().orElseThrow()).isGreaterThan(Duration.ofSeconds(8));
-    sleeper.access = FollowerFleet.StoreAccess.SOUND;
-    sleeper.cutFromPeers = false;
+    sleeper.access = FollowerFleet.StoreAccess.NORMAL;
+    sleeper.partitionedFromPeers = false;
     fleet.run(Duration.ofSeconds(4), () -> {});
-    assertThat(sleeper.follower.view().age().orElseThrow()).isLessThan(SERVED);
+    assertThat(sleeper.follower.view().age().orElseThrow()).isLessThan(MAX_ACCEPTED_AGE);
   }
 
-  private static void allFresh(FollowerFleet fleet) {
+  private static void assertAllFresh(FollowerFleet fleet) {
     for (FollowerFleet.Router router : fleet.routers) {
       assertThat(router.follower.view().age().orElseThrow())
           .as("age at router " + router.number)
-          .isLessThan(SERVED);
+          .isLessThan(MAX_ACCEPTED_AGE);
     }
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/MachineClock.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/MachineClock.java
@@ -6,44 +6,44 @@
 
 /** The clock of a machine that may be suspended while virtual time goes on. */
 final class MachineClock implements RouterClock {
-  private final RouterClock world;
+  private final RouterClock fleetClock;
   private final SuspensionLog suspensions;
-  private long sleptNanos;
-  private long suspendedNanos;
+  private long totalSuspendedNanos;
+  private long suspendedAtNanos;
   private boolean suspended;
 
-  MachineClock(RouterClock world) {
-    this.world = world;
-    this.suspensions = new SuspensionLog(world.nanoTime(), world.nanoTime());
+  MachineClock(RouterClock fleetClock) {
+    this.fleetClock = fleetClock;
+    this.suspensions = new SuspensionLog(fleetClock.nanoTime(), fleetClock.nanoTime());
   }
 
   void suspend() {
     if (!suspended) {
       suspended = true;
-      suspendedNanos = world.nanoTime();
+      suspendedAtNanos = fleetClock.nanoTime();
     }
   }
 
   void wake() {
     if (suspended) {
       suspended = false;
-      sleptNanos += world.nanoTime() - suspendedNanos;
+      totalSuspendedNanos += fleetClock.nanoTime() - suspendedAtNanos;
     }
   }
 
   @Override
   public long nanoTime() {
-    return (suspended ? suspendedNanos : world.nanoTime()) - sleptNanos;
+    return (suspended ? suspendedAtNanos : fleetClock.nanoTime()) - totalSuspendedNanos;
   }
 
   @Override
   public long suspendedSinceNanos(long nanos) {
-    suspensions.notice(nanoTime(), world.nanoTime());
+    suspensions.notice(nanoTime(), fleetClock.nanoTime());
     return suspensions.sinceNanos(nanos);
   }
 
   @Override
   public Instant wallTime() {
-    return world.wallTime();
+    return fleetClock.wallTime();
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/OlderStoreFleetTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/OlderStoreFleetTest.java
@@ -10,7 +10,7 @@
   private static final Duration START = Duration.ofSeconds(8);
   private static final int ROUTERS = 24;
 
-  private static final int LOOKOUTS = 6;
+  private static final int RELAYS = 6;
 
   /** How many pages a listing has in these tests. */
   private static final int PAGES = 4;
@@ -21,17 +21,17 @@
       fleet.store.write("key-" + key);
     }
     fleet.store.configure(version);
-    fleet.store.takeCopy();
+    fleet.store.takeBackup();
     fleet.run(START, () -> {});
     return fleet;
   }
 
   @Test
-  public void whatIsWrittenAfterwardsIsInForceEverywhereInTime() {
+  public void aVersionWrittenAfterTheRestoreIsInForceEverywhereInTime() {
     FollowerFleet fleet = fleetWithVersion(23);
     fleet.store.configure(26);
     fleet.run(Duration.ofSeconds(2), () -> {});
-    fleet.store.comeBackOlder();
+    fleet.store.restoreBackup();
     fleet.run(Duration.ofSeconds(1), () -> {});
     fleet.store.configure(28);
     fleet.run(Duration.ofSeconds(3), () -> {});
@@ -42,7 +42,7 @@
   }
 
   @Test
-  public void theNewEraCostsNoHerdOfCalls() {
+  public void aNewEraCausesFewStoreCalls() {
     FollowerFleet fleet = fleetWithVersion(23);
     fleet.store.configure(26);
     fleet.run(Duration.ofSeconds(2), () -> {});
@@ -50,7 +50,7 @@
     fleet.run(Duration.ofSeconds(5), () -> {});
     int usual = fleet.storeCalls - before;
     before = fleet.storeCalls;
-    fleet.store.comeBackOlder();
+    fleet.store.restoreBackup();
     fleet.run(Duration.ofSeconds(5), () -> {});
 
     // Beside its usual watches, each router makes at most one listing and one failed watch.
@@ -58,19 +58,19 @@
   }
 
   @Test
-  public void norDoesItAfterAnOutageThatAllHaveSeen() {
+  public void aNewEraAfterAnOutageCausesFewListings() {
     FollowerFleet fleet = fleetWithVersion(23);
     fleet.store.configure(26);
     fleet.run(Duration.ofSeconds(2), () -> {});
     fleet.routers.forEach(router -> router.access = FollowerFleet.StoreAccess.REFUSED);
     fleet.run(Duration.ofSeconds(2), () -> {});
-    fleet.store.comeBackOlder();
-    fleet.routers.forEach(router -> router.access = FollowerFleet.StoreAccess.SOUND);
+    fleet.store.restoreBackup();
+    fleet.routers.forEach(router -> router.access = FollowerFleet.StoreAccess.NORMAL);
     int before = fleet.listingCalls;
     fleet.run(Duration.ofSeconds(5), () -> {});
 
     // Only the relays list the store, two in each zone; the other routers list from them.
-    assertThat(fleet.listingCalls - before).isLessThanOrEqualTo(LOOKOUTS * PAGES);
+    assertThat(fleet.listingCalls - before).isLessThanOrEqualTo(RELAYS * PAGES);
     for (FollowerFleet.Router router : fleet.routers) {
       assertThat(router.follower.view().position().era())
           .as("router " + router.number)
@@ -79,11 +79,11 @@
   }
 
   @Test
-  public void aRouterThatStartsAfterwardsServesTheVersionThatOthersRemember() {
+  public void aRouterThatStartsAfterTheRestoreServesTheVersionThatOthersRemember() {
     FollowerFleet fleet = fleetWithVersion(23);
     fleet.store.configure(26);
     fleet.run(Duration.ofSeconds(2), () -> {});
-    fleet.store.comeBackOlder();
+    fleet.store.restoreBackup();
     fleet.run(Duration.ofSeconds(1), () -> {});
     for (FollowerFleet.Router router : fleet.routers) {
       if (router.number % 2 == 0) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/OlderStoreProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/OlderStoreProperties.java
@@ -24,24 +24,24 @@
  */
 class OlderStoreProperties {
   private static final int KEYS = 7;
-  private static final Duration CALM = Duration.ofSeconds(12);
+  private static final Duration RECOVERY_TIME = Duration.ofSeconds(12);
 
   /** A router confirms its view about every 1.5 s and lists the store once for each new era. */
-  private static final int MOST_CALLS_A_ROUTER_IN_CALM = 40;
+  private static final int MAX_CALLS_PER_ROUTER_IN_RECOVERY = 40;
 
   /** The kinds of events; a step's {@code pick} chooses the router and the key. */
   enum Event {
     WRITE,
     DELETE,
     CONFIGURE,
-    TAKE_COPY,
-    COME_BACK_OLDER,
+    TAKE_BACKUP,
+    RESTORE_BACKUP,
     WRITE_AGAIN,
     REFUSE,
     LOSE_ANSWERS,
-    CUT_FROM_STORE,
-    CUT_FROM_PEERS,
-    MEND,
+    PARTITION_FROM_STORE,
+    PARTITION_FROM_PEERS,
+    RECOVER,
     PAUSE,
     RESTART,
     RESTART_ALL,
@@ -56,7 +56,7 @@
     Arbitrary<Event> events =
         Arbitraries.frequencyOf(
             Tuple.of(2, Arbitraries.of(Event.values())),
-            Tuple.of(1, Arbitraries.of(Event.COME_BACK_OLDER, Event.TAKE_COPY, Event.CONFIGURE)));
+            Tuple.of(1, Arbitraries.of(Event.RESTORE_BACKUP, Event.TAKE_BACKUP, Event.CONFIGURE)));
     Arbitrary<Integer> picks = Arbitraries.integers().between(0, 1_000);
     Arbitrary<Integer> pauses = Arbitraries.integers().between(1, 2_500);
     return Combinators.combine(events, picks, pauses)
@@ -67,7 +67,7 @@
   }
 
   @Property(tries = 80, seed = "20261204", shrinking = ShrinkingMode.OFF)
-  void nothingFallsAndAllIsFollowed(
+  void versionsNeverDecreaseAndAllRoutersCatchUp(
       @ForAll("steps") List<Step> steps,
       @ForAll @IntRange(min = 2, max = 16) int routers,
       @ForAll @IntRange(min = 1, max = 3) int zones) {
@@ -95,7 +95,7 @@
       for (int key = 0; key < KEYS; key++) {
         write(key);
       }
-      fleet.store.takeCopy();
+      fleet.store.takeBackup();
     }
 
     private void write(int key) {
@@ -115,20 +115,20 @@
         case WRITE -> write(key);
         case DELETE -> delete(key);
         case CONFIGURE -> fleet.store.configure(++version);
-        case TAKE_COPY -> fleet.store.takeCopy();
-        case COME_BACK_OLDER -> fleet.store.comeBackOlder();
+        case TAKE_BACKUP -> fleet.store.takeBackup();
+        case RESTORE_BACKUP -> fleet.store.restoreBackup();
         case WRITE_AGAIN -> writeAgain();
         case REFUSE -> router.access = FollowerFleet.StoreAccess.REFUSED;
         case LOSE_ANSWERS -> router.access = FollowerFleet.StoreAccess.ANSWERS_LOST;
-        case CUT_FROM_STORE -> router.access = FollowerFleet.StoreAccess.CUT;
-        case CUT_FROM_PEERS -> router.cutFromPeers = true;
-        case MEND -> mendAll();
+        case PARTITION_FROM_STORE -> router.access = FollowerFleet.StoreAccess.UNREACHABLE;
+        case PARTITION_FROM_PEERS -> router.partitionedFromPeers = true;
+        case RECOVER -> recoverAll();
         case PAUSE -> router.paused = true;
         case RESTART -> restart(router);
         case RESTART_ALL -> fleet.routers.forEach(this::restart);
         case FORGET_HISTORY -> fleet.store.forgetHistory();
       }
-      fleet.run(Duration.ofMillis(step.millis()), this::noVersionFalls);
+      fleet.run(Duration.ofMillis(step.millis()), this::checkNoVersionDecreases);
     }
 
     private void restart(FollowerFleet.Router router) {
@@ -148,17 +148,17 @@
       }
     }
 
-    private void mendAll() {
+    private void recoverAll() {
       for (FollowerFleet.Router router : fleet.routers) {
-        router.access = FollowerFleet.StoreAccess.SOUND;
-        router.cutFromPeers = false;
+        router.access = FollowerFleet.StoreAccess.NORMAL;
+        router.partitionedFromPeers = false;
         if (router.paused) {
           router.wake();
         }
       }
     }
 
-    private void noVersionFalls() {
+    private void checkNoVersionDecreases() {
       for (FollowerFleet.Router router : fleet.routers) {
         long held = router.follower.view().configurationVersion();
         long before = versions.getOrDefault(router.number, 0L);
@@ -168,11 +168,11 @@
     }
 
     void end() {
-      mendAll();
-      fleet.run(Duration.ofSeconds(1), this::noVersionFalls);
+      recoverAll();
+      fleet.run(Duration.ofSeconds(1), this::checkNoVersionDecreases);
       writeAgain();
       int before = fleet.storeCalls;
-      fleet.run(CALM, this::noVersionFalls);
+      fleet.run(RECOVERY_TIME, this::checkNoVersionDecreases);
       for (FollowerFleet.Router router : fleet.routers) {
         assertThat(router.version).as("version at %s", router.number).isEqualTo(version);
         assertThat(router.present)
@@ -181,7 +181,7 @@
         assertThat(router.follower.view().position().era()).isEqualTo(fleet.store.revision().era());
       }
       assertThat(fleet.storeCalls - before)
-          .isLessThan(MOST_CALLS_A_ROUTER_IN_CALM * fleet.routers.size());
+          .isLessThan(MAX_CALLS_PER_ROUTER_IN_RECOVERY * fleet.routers.size());
     }
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RestartedServerTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RestartedServerTest.java
@@ -61,7 +61,7 @@
   }
 
   @Test
-  public void attemptsThatAreOpenAtTheFormerEndAtOnceAndGoOnAtTheNext() {
+  public void openAttemptsAtTheOldProcessEndAtOnceAndRetryAtTheNew() {
     write(entry(1_000, 9, false));
     fixture.submit();
     ServerAttempt first = fixture.last();
@@ -74,7 +74,7 @@
   }
 
   @Test
-  public void nothingOfTheFormerIsBelievedOfTheNext() {
+  public void stateOfTheOldProcessDoesNotApplyToTheNew() {
     write(entry(1_000, 9, true));
     assertThat(status(1_000)).isEqualTo(ServerStatus.DRAINING);
     fixture.directory.onStarted(id(1_000), 77, fixture.clock.nanoTime(), 1);
@@ -89,7 +89,7 @@
   }
 
   @Test
-  public void whatTheFormerSaidComesTooLateFromAnywhere() {
+  public void staleEntriesAreIgnored() {
     write(entry(2_000, 3, true));
     for (ServerEntry late : List.of(entry(1_000, 90, false), entry(2_000, 2, false))) {
       write(late);
@@ -102,7 +102,7 @@
   }
 
   @Test
-  public void aDrainMarkOfTheFormerFromAPeerIsNotOfTheNext() {
+  public void aDrainMarkOfTheOldProcessDoesNotApplyToTheNew() {
     write(entry(1_000, 9, false));
     write(entry(2_000, 1, false));
     fixture.directory.onDraining(id(1_000), fixture.clock.nanoTime());
@@ -111,7 +111,7 @@
   }
 
   @Test
-  public void aMalformedEntryNamesNoServerUntilTheServerWritesAgain() {
+  public void aMalformedEntryRemovesTheServerUntilItWritesAgain() {
     write(entry(1_000, 9, false));
     feed.onMalformed(KEY, REVISION);
     assertThat(fixture.directory.usable("s", fixture.clock.nanoTime())).isEmpty();
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPeersTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPeersTest.java
@@ -35,7 +35,7 @@
   private final List<PeerMessage> acksOfR2 = new ArrayList<>();
 
   @BeforeMethod
-  public void forgetOtherTests() {
+  public void reset() {
     routers.clear();
     timers.clear();
     dead.clear();
@@ -47,12 +47,12 @@
   }
 
   @Test
-  public void unknownRoutersAreTakenToBeMany() {
+  public void theCountIsAnOverestimateUntilRoutersAreKnown() {
     assertThat(create("r1", List.of("r2", "r3")).count()).isEqualTo(9);
   }
 
   @Test
-  public void allAreCountedAndTheDeadOnlyForAWhile() {
+  public void deadRoutersAreCountedOnlyForAWhile() {
     for (int i = 1; i <= 6; i++) {
       create("r" + i, List.of("r1", "r2")).start();
     }
@@ -128,7 +128,7 @@
    * the ack were matched with a ping of the new incarnation, the view would be dated too late.
    */
   @Test
-  public void anAckToAnEarlierLifeDatesNothing() {
+  public void anAckToAnEarlierIncarnationConfirmsNothing() {
     confirmedNanos.put("r2", clock.nanoTime());
     create("r2", List.of()).start();
     create("r1", List.of("r2"), 1).start();
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/SilentStoreFleetTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/SilentStoreFleetTest.java
@@ -20,7 +20,7 @@
   private static final int ZONES = 3;
   private static final Duration START = Duration.ofSeconds(10);
   private static final Duration OUTAGE = Duration.ofSeconds(6);
-  private static final Duration SOON = Duration.ofMillis(100);
+  private static final Duration SETTLING_TIME = Duration.ofMillis(100);
   private static final int SEEDS = 5;
 
   private static void setAccess(FollowerFleet fleet, FollowerFleet.StoreAccess access) {
@@ -35,15 +35,15 @@
   }
 
   @Test
-  public void whatIsWrittenAfterASilenceIsInForceEverywhereInTime() {
+  public void aVersionWrittenAfterAnOutageIsInForceEverywhereInTime() {
     for (int seed = 0; seed < SEEDS; seed++) {
       FollowerFleet fleet = new FollowerFleet(ROUTERS, ZONES, seed, false);
       fleet.store.configure(8);
       fleet.run(START, () -> {});
-      setAccess(fleet, FollowerFleet.StoreAccess.CUT);
+      setAccess(fleet, FollowerFleet.StoreAccess.UNREACHABLE);
       fleet.run(OUTAGE, () -> {});
-      setAccess(fleet, FollowerFleet.StoreAccess.SOUND);
-      fleet.run(SOON, () -> {});
+      setAccess(fleet, FollowerFleet.StoreAccess.NORMAL);
+      fleet.run(SETTLING_TIME, () -> {});
       fleet.store.configure(9);
       fleet.run(FollowerFleet.BOUND, () -> {});
 
