--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ColdServerLimits.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ColdServerLimits.java
@@ -16,7 +16,10 @@
  * one request per second sends one request in a correspondingly longer window.
  */
 final class ColdServerLimits {
-  /** Routers learn of each other at different times, and requests may arrive a second later. */
+  /**
+   * Routers learn of each other at different times, and requests that were sent in different
+   * seconds may arrive in the same one.
+   */
   private static final double SAFETY_FACTOR = 0.7;
 
   private static final double NANOS_PER_SECOND = 1e9;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ConnectionShares.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ConnectionShares.java
@@ -8,7 +8,7 @@
  * This router's share of the connections that servers accept, and of the extra attempts allowed.
  */
 final class ConnectionShares {
-  /** Servers may still hold connections of a restarted router's previous process. */
+  /** Reduces the share after a start: servers may still hold connections of the former process. */
   private static final int RECENT_START_DIVISOR = 2;
 
   /** With one connection to a server, concurrent searches would wait for each other. */
@@ -17,7 +17,7 @@
   /** More attempts at one server would only queue there. */
   private static final int MAX_OPEN_ATTEMPTS = 8;
 
-  /** Added to the known gatherers: routers do not learn of a new one at the same time. */
+  /** Added to the known gatherers, since routers learn of a new one at different times. */
   private static final int UNKNOWN_GATHERERS = 2;
 
   /** There may be this many times more routers than a recently started one has heard of. */
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPeersTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPeersTest.java
@@ -117,7 +117,7 @@
     }
     run(Duration.ofSeconds(3));
     seen.put("r8", 70L);
-    // Each period, of at most 1.5 s, pings one of the seven other routers in turn.
+    // Each router pings one of the seven others in turn, once in a period of at most 1.5 s.
     run(Duration.ofSeconds(12));
 
     assertThat(heard).containsEntry("r1", 70L).containsEntry("r4", 70L).containsEntry("r7", 70L);
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/SilentRelaysFleetTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/SilentRelaysFleetTest.java
@@ -11,8 +11,8 @@
  * or become unreachable without a reset. A call to a relay times out after two seconds, and the
  * relay is then avoided for just as long. When the call to the second relay times out, the first
  * may be chosen again, so that the router never asks the store, which would answer at once. It then
- * stays behind until the other routers declare the relays dead or tell it that it is behind. In the
- * original fault a version came into force after 5.04 s, beyond the bound of 5 s.
+ * stays behind until the other routers declare the relays dead or tell it that it is behind. A
+ * version can then come into force 5.04 s after its acknowledgement, beyond the bound of 5 s.
  */
 public final class SilentRelaysFleetTest {
   private static final int ROUTERS = 60;
