--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardingRouter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardingRouter.java
@@ -41,8 +41,8 @@
 
   /**
    * A server that is leaving must get no more requests after a set time. If its service has no
-   * other server, it is used for this fraction of that time; the rest allows for the delay until
-   * the router hears that the server is leaving.
+   * other server, it is still used for that time divided by this number; the rest allows for the
+   * delay until the router hears that the server is leaving.
    */
   private static final int LAST_RESORT_DIVISOR = 2;
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/SilentStoreFleetTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/SilentStoreFleetTest.java
@@ -13,7 +13,7 @@
  * informed, the store never answers those calls, and after the outage only news of a router that is
  * ahead ends them. Only the relays are ahead, six of sixty routers, and a router hears of two
  * others each second. Some routers would then serve a version that was replaced longer ago than the
- * bound.
+ * bound of 5 s, with a view more than 8 s old.
  */
 public final class SilentStoreFleetTest {
   private static final int ROUTERS = 60;
