--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ConnectionShares.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ConnectionShares.java
@@ -4,79 +4,85 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.IntSupplier;
 
-/** How routers share the connections that servers take, and the allowance of extra attempts. */
+/**
+ * This router's share of the connections that servers accept, and of the extra attempts allowed.
+ */
 final class ConnectionShares {
-  /** A router that has just started takes half: servers may hold connections of its last life. */
-  private static final int YOUNG_DIVISOR = 2;
+  /** Reduces the share after a start: servers may still hold connections of the former process. */
+  private static final int RECENT_START_DIVISOR = 2;
 
-  /** With one connection to a server, searches that overlap would wait for each other. */
-  private static final int FEWEST_OF_GATHERER = 2;
+  /** With one connection to a server, concurrent searches would wait for each other. */
+  private static final int MIN_ATTEMPTS_OF_GATHERER = 2;
 
-  /** More attempts at one server would only wait there. */
-  private static final int MAXIMUM_OPEN = 8;
+  /** More attempts at one server would only queue there. */
+  private static final int MAX_OPEN_ATTEMPTS = 8;
 
-  /** Routers see a gatherer come or go a moment apart; so many more are taken to share. */
-  private static final int UNSEEN_GATHERERS = 2;
+  /** Added to the known gatherers, since routers learn of a new one at different times. */
+  private static final int UNKNOWN_GATHERERS = 2;
 
-  /** By how many times more routers may be there than one that has just started knows. */
-  private static final int UNSEEN_WHILE_YOUNG = 8;
+  /** There may be this many times more routers than a recently started one has heard of. */
+  private static final int RECENT_START_ROUTER_FACTOR = 8;
 
   private final SearchLayout layout;
   private final Gatherers gatherers;
   private final IntSupplier routers;
-  private final BooleanSupplier young;
+  private final BooleanSupplier recentlyStarted;
 
   /**
-   * Creates shares.
+   * Creates the shares of one router.
    *
-   * @param routers how many share servers
-   * @param young whether this router has just started
+   * @param routers the number of routers that share the servers
+   * @param recentlyStarted whether this router has started recently
    */
   ConnectionShares(
-      SearchLayout layout, Gatherers gatherers, IntSupplier routers, BooleanSupplier young) {
+      SearchLayout layout,
+      Gatherers gatherers,
+      IntSupplier routers,
+      BooleanSupplier recentlyStarted) {
     this.layout = layout;
     this.gatherers = gatherers;
     this.routers = routers;
-    this.young = young;
+    this.recentlyStarted = recentlyStarted;
   }
 
-  /** Attempts that this router may have open at one server of a service. */
+  /** How many attempts this router may have open at one server of a service. */
   int share(String service) {
     OptionalInt gathering =
         layout.isGathered(service) ? gatherers.primaryCount(service) : OptionalInt.empty();
     int sharers = gathering.orElse(Math.max(1, routers.getAsInt()));
     double share = layout.usedConnections(service) / sharers;
-    if (young.getAsBoolean()) {
-      share /= YOUNG_DIVISOR;
+    if (recentlyStarted.getAsBoolean()) {
+      share /= RECENT_START_DIVISOR;
     }
-    int fewest = gathering.isPresent() ? FEWEST_OF_GATHERER : 1;
-    return Math.max(fewest, Math.min(MAXIMUM_OPEN, (int) share));
+    int fewest = gathering.isPresent() ? MIN_ATTEMPTS_OF_GATHERER : 1;
+    return Math.max(fewest, Math.min(MAX_OPEN_ATTEMPTS, (int) share));
   }
 
   /**
-   * The part of what a cold server of a service bears that is this router's, from 0 to 1. A router
-   * that has just started may not have heard of most others.
+   * This router's fraction, from 0 to 1, of the request rate allowed for a cold server of a
+   * service. The fraction is smaller for a recently started router, which may not have heard of
+   * most others.
    */
-  double coldServerPart(String service) {
+  double coldServerFraction(String service) {
     OptionalInt gathering =
         layout.isGathered(service) ? gatherers.primaryCount(service) : OptionalInt.empty();
     int sharers =
         gathering.isPresent()
-            ? gathering.getAsInt() + UNSEEN_GATHERERS
+            ? gathering.getAsInt() + UNKNOWN_GATHERERS
             : Math.max(1, routers.getAsInt());
-    return 1.0 / (young.getAsBoolean() ? UNSEEN_WHILE_YOUNG * sharers : sharers);
+    return 1.0 / (recentlyStarted.getAsBoolean() ? RECENT_START_ROUTER_FACTOR * sharers : sharers);
   }
 
   /**
-   * The part of a service's allowance of extra attempts that is this router's, from 0 to 1. Of a
-   * shard that others gather it has none.
+   * This router's fraction, from 0 to 1, of a service's allowance of extra attempts. It is 0 for a
+   * shard whose parts other routers gather.
    */
-  double allowancePart(String service) {
+  double allowanceFraction(String service) {
     if (!layout.isGathered(service)) {
       return 1.0 / Math.max(1, routers.getAsInt());
     }
     return gatherers.primaryCount(service).stream()
-        .mapToDouble(primaryCount -> 1.0 / (primaryCount + UNSEEN_GATHERERS))
+        .mapToDouble(primaryCount -> 1.0 / (primaryCount + UNKNOWN_GATHERERS))
         .findFirst()
         .orElse(0);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartDelegator.java
@@ -60,7 +60,8 @@
     DelegateState state = chooser.state(choice.delegate());
     RequestTimes times = search.times();
     long silenceDeadlineNanos =
-        Math.min(times.responseDeadlineNanos(), times.attemptDeadlineNanos() + SILENCE_SLACK.toNanos());
+        Math.min(
+            times.responseDeadlineNanos(), times.attemptDeadlineNanos() + SILENCE_SLACK.toNanos());
     TimerQueue.Timer silence =
         timers.schedule(silenceDeadlineNanos, () -> onFailure(number, DelegateFailure.SILENT));
     Group group = new Group(number, search, choice, state, listener, silence);
--- /dev/null
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/WatchRelays.java
@@ -0,0 +1,190 @@
+package io.arrowarch.core.forward;
+
+import com.google.common.collect.ImmutableList;
+import com.google.common.hash.HashFunction;
+import com.google.common.hash.Hashing;
+import io.arrowarch.core.feed.FeedSource;
+import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.time.RouterClock;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+
+/**
+ * Chooses the watch relays: routers that watch the store and pass its changes on to the others.
+ * Each large zone has some, chosen by a hash of the router ids. The other routers follow the relays
+ * instead of the store, which saves the store most of its calls. In a small zone every router
+ * watches the store, since there is little to save.
+ */
+final class WatchRelays implements FeedSource {
+  private static final int MIN_RELAYS = 2;
+
+  /** Zones with fewer routers are small: each of their routers watches the store. */
+  private static final int LARGE_ZONE_ROUTERS = 6;
+
+  private static final int ROUTERS_PER_RELAY_IN_SMALL_ZONE = 4;
+  private static final int ROUTERS_PER_RELAY_IN_LARGE_ZONE = 8;
+
+  /** How long a relay that failed to answer is not chosen. */
+  private static final Duration FAILURE_BACKOFF = Duration.ofSeconds(2);
+
+  private static final HashFunction HASH = Hashing.murmur3_128();
+
+  private final ForwardOptions options;
+  private final RouterGroup routers;
+  private final RouterClock clock;
+  private final long ownIdHash;
+  private final Map<String, Long> failedNanos = new HashMap<>();
+  private ImmutableList<NearbyRouter> cachedViewSource = ImmutableList.of();
+  private Optional<View> cachedView = Optional.empty();
+  private int queriesAtStart;
+  private int queriesAfterGap;
+
+  /**
+   * The relays of a group as this router sees them.
+   *
+   * @param allWatchStore whether every router follows the store itself
+   * @param isRelay whether this router is a relay
+   * @param relays addresses of the relays among the other routers. If this router is a relay, the
+   *     list also has the router that would replace it.
+   */
+  private record View(boolean allWatchStore, boolean isRelay, ImmutableList<String> relays) {}
+
+  /** Another router and the hash that ranks it. */
+  private record Ranked(String address, long idHash) {}
+
+  WatchRelays(ForwardOptions options, RouterGroup routers, RouterClock clock) {
+    this.options = options;
+    this.routers = routers;
+    this.clock = clock;
+    this.ownIdHash = idHash(options.id());
+  }
+
+  /** Whether this router is a relay. It is one while it knows no other router of its group. */
+  @Override
+  public boolean isRelay() {
+    return view().isRelay();
+  }
+
+  @Override
+  public boolean isFollowed() {
+    return !view().allWatchStore() && view().isRelay();
+  }
+
+  @Override
+  public boolean usesRelays() {
+    return !view().allWatchStore() && !view().isRelay();
+  }
+
+  @Override
+  public Optional<String> relayToFollow() {
+    View view = view();
+    if (view.allWatchStore()) {
+      return Optional.empty();
+    }
+    ImmutableList<String> relays = view.relays();
+    // Routers start at different relays, so that the followers spread evenly.
+    int first = (int) Math.floorMod(ownIdHash, (long) relays.size());
+    for (int i = 0; i < relays.size(); i++) {
+      String relay = relays.get((first + i) % relays.size());
+      if (!isBackingOff(relay)) {
+        return Optional.of(relay);
+      }
+    }
+    return Optional.empty();
+  }
+
+  @Override
+  public Optional<String> relayToAskAfterGap() {
+    View view = view();
+    if (view.allWatchStore() || view.isRelay()) {
+      return Optional.empty();
+    }
+    ImmutableList<String> relays = view.relays();
+    int next = (int) Math.floorMod(ownIdHash + queriesAfterGap++, (long) relays.size());
+    return Optional.of(relays.get(next));
+  }
+
+  /** Returns the view for the routers now known; rebuilt only when that list changes. */
+  @SuppressWarnings("ReferenceEquality")
+  private View view() {
+    ImmutableList<NearbyRouter> nearby = routers.nearby();
+    if (cachedView.isEmpty() || nearby != cachedViewSource) {
+      cachedViewSource = nearby;
+      cachedView = Optional.of(buildView());
+    }
+    return cachedView.get();
+  }
+
+  private View buildView() {
+    List<Ranked> others = new ArrayList<>();
+    for (NearbyRouter router : groupPeers()) {
+      others.add(new Ranked(router.address(), idHash(router.id())));
+    }
+    int groupSize = others.size() + 1;
+    int count = count(groupSize);
+    long before = others.stream().filter(router -> router.idHash() < ownIdHash).count();
+    others.sort(Comparator.comparingLong(Ranked::idHash));
+    ImmutableList<String> relays =
+        others.stream().limit(count).map(Ranked::address).collect(ImmutableList.toImmutableList());
+    return new View(allWatchStore(groupSize), before < count, relays);
+  }
+
+  @Override
+  public void onFailed(String address) {
+    failedNanos.put(address, clock.nanoTime());
+  }
+
+  private boolean isBackingOff(String address) {
+    Long failed = failedNanos.get(address);
+    return failed != null && clock.nanoTime() - failed < FAILURE_BACKOFF.toNanos();
+  }
+
+  /** Whether every router of a group of this size follows the store itself. */
+  private boolean allWatchStore(int groupSize) {
+    return groupSize < LARGE_ZONE_ROUTERS || !options.has(Mechanism.FOLLOWED_LOOKOUTS);
+  }
+
+  private int count(int groupSize) {
+    int routersPerRelay =
+        allWatchStore(groupSize)
+            ? ROUTERS_PER_RELAY_IN_SMALL_ZONE
+            : ROUTERS_PER_RELAY_IN_LARGE_ZONE;
+    return Math.max(MIN_RELAYS, groupSize / routersPerRelay);
+  }
+
+  /**
+   * The other routers that share relays with this one: those of its zone. If the zone is small and
+   * every view must be fresh, all routers share relays, since otherwise each small zone would need
+   * its own.
+   */
+  private List<NearbyRouter> groupPeers() {
+    List<NearbyRouter> ofZone = new ArrayList<>();
+    for (NearbyRouter router : routers.nearby()) {
+      if (router.zone().equals(options.zone())) {
+        ofZone.add(router);
+      }
+    }
+    boolean small = ofZone.size() + 1 < LARGE_ZONE_ROUTERS;
+    return small && options.store().everyView() ? new ArrayList<>(routers.nearby()) : ofZone;
+  }
+
+  @Override
+  public Optional<String> routerToAskAtStart() {
+    ImmutableList<String> contacts = routers.contacts();
+    if (contacts.isEmpty()) {
+      return Optional.empty();
+    }
+    int next = (int) Math.floorMod(ownIdHash + queriesAtStart++, (long) contacts.size());
+    return Optional.of(contacts.get(next));
+  }
+
+  private static long idHash(String router) {
+    return HASH.hashString(router, StandardCharsets.UTF_8).asLong();
+  }
+}
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FakeStore.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FakeStore.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A platform's store in virtual time, with the moments of all its changes. */
+/** The platform's store in virtual time, with the time of each change. */
 final class FakeStore {
   static final String CONFIGURATION = "a-configuration";
   private static final int PAGE = 3;
@@ -26,10 +26,10 @@
   private StoreRevision revision = new StoreRevision(1, 100);
   private long historyFrom = 100;
 
-  private Optional<Copy> copy = Optional.empty();
+  private Optional<Backup> backup = Optional.empty();
 
-  /** What the store held at some moment, from which it may come back. */
-  private record Copy(TreeMap<String, FeedItem> items, StoreRevision revision) {}
+  /** A backup of the store's contents. */
+  private record Backup(TreeMap<String, FeedItem> items, StoreRevision revision) {}
 
   /** A write, or a deletion. */
   record Change(long nanos, FeedItem item) {}
@@ -55,22 +55,22 @@
     changes.add(new Change(clock.nanoTime(), item));
   }
 
-  /** Keeps a copy, in place of the one before. */
-  void takeCopy() {
-    copy = Optional.of(new Copy(new TreeMap<>(items), revision));
+  /** Takes a backup, which replaces the previous one. */
+  void takeBackup() {
+    backup = Optional.of(new Backup(new TreeMap<>(items), revision));
   }
 
-  /** Loses what was written since the copy was taken, if there is one. */
-  void comeBackOlder() {
-    if (copy.isEmpty()) {
+  /** Restores the backup, if there is one, in a new era; later writes are lost. */
+  void restoreBackup() {
+    if (backup.isEmpty()) {
       return;
     }
     items.clear();
-    items.putAll(copy.get().items());
+    items.putAll(backup.get().items());
     changes.clear();
-    historyFrom = copy.get().revision().number();
+    historyFrom = backup.get().revision().number();
     revision = new StoreRevision(revision.era() + 1, historyFrom);
-    // As the store gives them out now.
+    // After a restore the store returns every item with the new era.
     items.replaceAll((key, item) -> in(revision.era(), item));
   }
 
@@ -106,7 +106,7 @@
     return new FeedAnswer(ImmutableList.copyOf(page), revision, rest.size() > PAGE);
   }
 
-  /** The changes after a revision; empty when they have been forgotten. */
+  /** The changes after a revision; empty if the store no longer has them all. */
   Optional<FeedAnswer> changesAfter(long after) {
     if (after < historyFrom || after > revision.number()) {
       return Optional.empty();
@@ -120,7 +120,7 @@
     return Optional.of(new FeedAnswer(later.build(), revision, false));
   }
 
-  /** Whether a key was deleted after a revision and by another one. */
+  /** Whether a key was deleted after one revision and not after another. */
   boolean wasDeleted(String key, StoreRevision after, StoreRevision until) {
     for (Change change : changes) {
       FeedItem item = change.item();
@@ -132,7 +132,7 @@
     return false;
   }
 
-  /** The newest change of each key at a moment. */
+  /** The latest change of each key up to a time. */
   Map<String, FeedItem> asOf(long nanos) {
     Map<String, FeedItem> newest = new HashMap<>();
     for (Change change : changes) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FreshnessProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FreshnessProperties.java
@@ -19,24 +19,25 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * The date of a router's view is never later than what it knows: what the store held at that moment
- * is known there, whatever is cut, refused, lost, paused, forgotten or started anew. Hence no
- * request runs under a key that was taken away longer ago than the bound.
+ * A router's view of the store is dated correctly: the router knows everything that the store held
+ * at the date of its view. This holds under network partitions, refused calls, lost answers,
+ * pauses, lost history and restarts. Therefore no request is accepted with an API key that was
+ * revoked longer ago than the bound.
  */
 class FreshnessProperties {
   private static final int KEYS = 5;
-  private static final Duration CALM = Duration.ofSeconds(12);
+  private static final Duration RECOVERY_TIME = Duration.ofSeconds(12);
 
-  /** What happens next; {@code pick} chooses among routers and keys. */
+  /** The kinds of events; a step's {@code pick} chooses the router and the key. */
   enum Event {
     WRITE,
     DELETE,
     REFUSE,
     LOSE_ANSWERS,
-    CUT_FROM_STORE,
-    CUT_FROM_PEERS,
-    CUT_OFF,
-    MEND,
+    PARTITION_FROM_STORE,
+    PARTITION_FROM_PEERS,
+    ISOLATE,
+    RECOVER,
     PAUSE,
     RESTART,
     RESTART_ALL,
@@ -44,7 +45,7 @@
     SUSPEND
   }
 
-  /** One event, and how long until the next. */
+  /** One event, and the time until the next. */
   record Step(Event event, int pick, int millis) {}
 
   @Provide
@@ -77,7 +78,7 @@
   }
 
   @Property(tries = 60, seed = "20261203", shrinking = ShrinkingMode.OFF)
-  void norIsOneOfAMachineThatWasSuspended(
+  void noViewIsDatedLaterThanWhatItKnowsAfterSuspensions(
       @ForAll("stepsWithSuspensions") List<Step> steps,
       @ForAll @IntRange(min = 2, max = 24) int routers,
       @ForAll @IntRange(min = 1, max = 3) int zones) {
@@ -93,8 +94,8 @@
       apply(fleet, step);
       fleet.run(Duration.ofMillis(step.millis()), () -> check(fleet));
     }
-    mendAll(fleet);
-    fleet.run(CALM, () -> check(fleet));
+    recoverAll(fleet);
+    fleet.run(RECOVERY_TIME, () -> check(fleet));
     for (FollowerFleet.Router router : fleet.routers) {
       assertThat(router.follower.view().age()).as("age at " + router.number).isPresent();
       assertThat(router.follower.view().age().get()).isLessThan(FollowerFleet.BOUND);
@@ -109,13 +110,13 @@
       case DELETE -> fleet.store.delete(key);
       case REFUSE -> router.access = FollowerFleet.StoreAccess.REFUSED;
       case LOSE_ANSWERS -> router.access = FollowerFleet.StoreAccess.ANSWERS_LOST;
-      case CUT_FROM_STORE -> router.access = FollowerFleet.StoreAccess.CUT;
-      case CUT_FROM_PEERS -> router.cutFromPeers = true;
-      case CUT_OFF -> {
-        router.access = FollowerFleet.StoreAccess.CUT;
-        router.cutFromPeers = true;
+      case PARTITION_FROM_STORE -> router.access = FollowerFleet.StoreAccess.UNREACHABLE;
+      case PARTITION_FROM_PEERS -> router.partitionedFromPeers = true;
+      case ISOLATE -> {
+        router.access = FollowerFleet.StoreAccess.UNREACHABLE;
+        router.partitionedFromPeers = true;
       }
-      case MEND -> mendAll(fleet);
+      case RECOVER -> recoverAll(fleet);
       case PAUSE -> router.paused = true;
       case SUSPEND -> router.suspend();
       case RESTART -> router.start();
@@ -127,20 +128,20 @@
     }
   }
 
-  private static void mendAll(FollowerFleet fleet) {
+  private static void recoverAll(FollowerFleet fleet) {
     for (FollowerFleet.Router router : fleet.routers) {
-      router.access = FollowerFleet.StoreAccess.SOUND;
-      router.cutFromPeers = false;
+      router.access = FollowerFleet.StoreAccess.NORMAL;
+      router.partitionedFromPeers = false;
       if (router.paused) {
         router.wake();
       }
     }
   }
 
-  /** By the date of each view, all that the store held at that moment is known. */
+  /** Checks that each router knows what the store held at the date of the router's view. */
   private static void check(FollowerFleet fleet) {
     for (FollowerFleet.Router router : fleet.routers) {
-      // A machine that is suspended reads no clock.
+      // A suspended machine cannot read its clock, so its view has no age.
       Optional<Duration> age = router.paused ? Optional.empty() : router.follower.view().age();
       if (age.isEmpty()) {
         continue;
@@ -148,7 +149,7 @@
       Map<String, FeedItem> held = fleet.store.asOf(fleet.clock.nanoTime() - age.get().toNanos());
       for (FeedItem item : held.values()) {
         FeedItem known = router.known.get(item.key());
-        if (known == null && mayHaveGoneUnseen(fleet, router, item)) {
+        if (known == null && mayHaveMissedDeletedKey(fleet, router, item)) {
           continue;
         }
         assertThat(known).as("%s at router %s", item.key(), router.number).isNotNull();
@@ -157,8 +158,8 @@
     }
   }
 
-  /** A router that has listed later has never been told of a key that had gone by then. */
-  private static boolean mayHaveGoneUnseen(
+  /** A router that listed the store after a key's deletion never received that key. */
+  private static boolean mayHaveMissedDeletedKey(
       FollowerFleet fleet, FollowerFleet.Router router, FeedItem item) {
     return item.entry().isEmpty()
         || fleet.store.wasDeleted(item.key(), item.revision(), router.follower.view().position());
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/OlderStoreFleetTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/OlderStoreFleetTest.java
@@ -5,14 +5,14 @@
 import java.time.Duration;
 import org.testng.annotations.Test;
 
-/** A whole fleet when the store comes back older: how soon it follows, and what that costs. */
+/** After a restore of the store from a backup: how soon a fleet follows, with how many calls. */
 public final class OlderStoreFleetTest {
   private static final Duration START = Duration.ofSeconds(8);
   private static final int ROUTERS = 24;
 
-  private static final int LOOKOUTS = 6;
+  private static final int RELAYS = 6;
 
-  /** Pages of a listing in these tests. */
+  /** How many pages a listing has in these tests. */
   private static final int PAGES = 4;
 
   private FollowerFleet fleetWithVersion(long version) {
@@ -21,17 +21,17 @@
       fleet.store.write("key-" + key);
     }
     fleet.store.configure(version);
-    fleet.store.takeCopy();
+    fleet.store.takeBackup();
     fleet.run(START, () -> {});
     return fleet;
   }
 
   @Test
-  public void whatIsWrittenAfterwardsIsInForceEverywhereInTime() {
+  public void aVersionWrittenAfterTheRestoreIsInForceEverywhereInTime() {
     FollowerFleet fleet = fleetWithVersion(23);
     fleet.store.configure(26);
     fleet.run(Duration.ofSeconds(2), () -> {});
-    fleet.store.comeBackOlder();
+    fleet.store.restoreBackup();
     fleet.run(Duration.ofSeconds(1), () -> {});
     fleet.store.configure(28);
     fleet.run(Duration.ofSeconds(3), () -> {});
@@ -42,7 +42,7 @@
   }
 
   @Test
-  public void theNewEraCostsNoHerdOfCalls() {
+  public void aNewEraCausesFewStoreCalls() {
     FollowerFleet fleet = fleetWithVersion(23);
     fleet.store.configure(26);
     fleet.run(Duration.ofSeconds(2), () -> {});
@@ -50,27 +50,27 @@
     fleet.run(Duration.ofSeconds(5), () -> {});
     int usual = fleet.storeCalls - before;
     before = fleet.storeCalls;
-    fleet.store.comeBackOlder();
+    fleet.store.restoreBackup();
     fleet.run(Duration.ofSeconds(5), () -> {});
 
-    // One listing and one failed watch a router at most, beside the usual watches.
+    // Beside its usual watches, each router makes at most one listing and one failed watch.
     assertThat(fleet.storeCalls - before - usual).isLessThanOrEqualTo(ROUTERS * (PAGES + 1));
   }
 
   @Test
-  public void norDoesItAfterAnOutageThatAllHaveSeen() {
+  public void aNewEraAfterAnOutageCausesFewListings() {
     FollowerFleet fleet = fleetWithVersion(23);
     fleet.store.configure(26);
     fleet.run(Duration.ofSeconds(2), () -> {});
     fleet.routers.forEach(router -> router.access = FollowerFleet.StoreAccess.REFUSED);
     fleet.run(Duration.ofSeconds(2), () -> {});
-    fleet.store.comeBackOlder();
-    fleet.routers.forEach(router -> router.access = FollowerFleet.StoreAccess.SOUND);
+    fleet.store.restoreBackup();
+    fleet.routers.forEach(router -> router.access = FollowerFleet.StoreAccess.NORMAL);
     int before = fleet.listingCalls;
     fleet.run(Duration.ofSeconds(5), () -> {});
 
-    // The others take it from the lookouts, of which each zone has two.
-    assertThat(fleet.listingCalls - before).isLessThanOrEqualTo(LOOKOUTS * PAGES);
+    // Only the relays list the store, two in each zone; the other routers list from them.
+    assertThat(fleet.listingCalls - before).isLessThanOrEqualTo(RELAYS * PAGES);
     for (FollowerFleet.Router router : fleet.routers) {
       assertThat(router.follower.view().position().era())
           .as("router " + router.number)
@@ -79,11 +79,11 @@
   }
 
   @Test
-  public void aRouterThatStartsAfterwardsServesTheVersionThatOthersRemember() {
+  public void aRouterThatStartsAfterTheRestoreServesTheVersionThatOthersRemember() {
     FollowerFleet fleet = fleetWithVersion(23);
     fleet.store.configure(26);
     fleet.run(Duration.ofSeconds(2), () -> {});
-    fleet.store.comeBackOlder();
+    fleet.store.restoreBackup();
     fleet.run(Duration.ofSeconds(1), () -> {});
     for (FollowerFleet.Router router : fleet.routers) {
       if (router.number % 2 == 0) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPeersTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPeersTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Several routers' views over a network in virtual time that may lose routers. */
+/** Several routers that gossip over a simulated network in virtual time; routers may die. */
 public final class RouterPeersTest {
   private final FakeClock clock = new FakeClock();
   private final Map<String, RouterPeers> routers = new HashMap<>();
@@ -35,7 +35,7 @@
   private final List<PeerMessage> acksOfR2 = new ArrayList<>();
 
   @BeforeMethod
-  public void forgetOtherTests() {
+  public void reset() {
     routers.clear();
     timers.clear();
     dead.clear();
@@ -47,12 +47,12 @@
   }
 
   @Test
-  public void unknownRoutersAreTakenToBeMany() {
+  public void theCountIsAnOverestimateUntilRoutersAreKnown() {
     assertThat(create("r1", List.of("r2", "r3")).count()).isEqualTo(9);
   }
 
   @Test
-  public void allAreCountedAndTheDeadOnlyForAWhile() {
+  public void deadRoutersAreCountedOnlyForAWhile() {
     for (int i = 1; i <= 6; i++) {
       create("r" + i, List.of("r1", "r2")).start();
     }
@@ -84,18 +84,18 @@
     create("r1", List.of("r2"), 1_000_000).start();
     create("r2", List.of("r1"), 1_000_300).start();
     run(Duration.ofSeconds(3));
-    assertThat(routers.get("r1").hasEstablished()).isFalse();
-    assertThat(routers.get("r2").hasEstablished()).isFalse();
+    assertThat(routers.get("r1").hasEstablishedPeer()).isFalse();
+    assertThat(routers.get("r2").hasEstablishedPeer()).isFalse();
 
     create("r3", List.of("r1"), 1_020_000).start();
     run(Duration.ofMillis(200));
-    assertThat(routers.get("r3").hasEstablished()).isTrue();
-    assertThat(routers.get("r1").hasEstablished()).isFalse();
+    assertThat(routers.get("r3").hasEstablishedPeer()).isTrue();
+    assertThat(routers.get("r1").hasEstablishedPeer()).isFalse();
 
     create("r4", List.of("r1", "r2"), 1_040_000).start();
     dead.addAll(List.of("r1", "r2", "r3"));
     run(Duration.ofMillis(50));
-    assertThat(create("r5", List.of("r1"), 1_050_000).hasEstablished()).isFalse();
+    assertThat(create("r5", List.of("r1"), 1_050_000).hasEstablishedPeer()).isFalse();
   }
 
   @Test
@@ -117,18 +117,18 @@
     }
     run(Duration.ofSeconds(3));
     seen.put("r8", 70L);
-    // One ping a period, of 1.5 s at most, to each of the seven others in turn.
+    // Each router pings one of the seven others in turn, once in a period of at most 1.5 s.
     run(Duration.ofSeconds(12));
 
     assertThat(heard).containsEntry("r1", 70L).containsEntry("r4", 70L).containsEntry("r7", 70L);
   }
 
   /**
-   * A router restarts while an ack to its last life is on its way, or lies unread at one that
-   * stands still: as an answer to a new ping it would date the view later than it was.
+   * A router restarts while an ack to its previous incarnation is still in transit or unread. If
+   * the ack were matched with a ping of the new incarnation, the view would be dated too late.
    */
   @Test
-  public void anAckToAnEarlierLifeDatesNothing() {
+  public void anAckToAnEarlierIncarnationConfirmsNothing() {
     confirmedNanos.put("r2", clock.nanoTime());
     create("r2", List.of()).start();
     create("r1", List.of("r2"), 1).start();
