--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/ReportKind.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/ReportKind.java
@@ -3,21 +3,21 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** What a router tells another of a request. */
+/** Kind of a report about one request, which routers send each other. */
 enum ReportKind {
-  /** Servers have ended under it; how many of them says the rest. */
+  /** Servers crashed while running it. Their number decides whether it is suspected. */
   ENDS,
-  /** It has ended the server that it was tried on. */
+  /** It crashed the server that ran its canary. */
   QUARANTINE,
-  /** A server has run it to an answer. */
+  /** A server ran it and answered. */
   CLEARANCE;
 
-  /** The word in messages. */
+  /** Returns the kind's name in messages. */
   String wireName() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** The kind of a word in messages; empty for one that this version does not know. */
+  /** Returns the kind with a name in messages; empty if this version does not know the name. */
   static Optional<ReportKind> ofWireName(String name) {
     for (ReportKind kind : values()) {
       if (kind.wireName().equals(name)) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/RequestKey.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/RequestKey.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 
 /**
- * By what a request is known again: a strong hash of what servers are given of it. Neither its
- * attempt id nor the address that it comes from belongs to that, nor other headers.
+ * Identifies equal requests: a cryptographic hash of the method, host, target, tenant and body. The
+ * attempt id, the caller's address and other headers are not part of it.
  *
- * @param text 32 hexadecimal digits
+ * @param text the hash as 32 hexadecimal digits
  */
 public record RequestKey(String text) {
   private static final int DIGITS = 32;
@@ -21,17 +21,17 @@
   public RequestKey {
     requireNonNull(text, "text is null");
     if (text.length() != DIGITS) {
-      throw new IllegalArgumentException("a key has " + DIGITS + " digits: " + text);
+      throw new IllegalArgumentException("a request key must have " + DIGITS + " digits: " + text);
     }
   }
 
   /**
-   * Hashes a request. Each field is preceded by its length, so that no two requests give the same
-   * bytes.
+   * Hashes a request. The length of each field is hashed before the field, so that different
+   * requests never yield the same input.
    *
-   * @param host without regard to case
+   * @param host compared without regard to case
    * @param target path and query
-   * @param tenant whose request it is
+   * @param tenant name of the tenant that the request belongs to
    */
   public static RequestKey of(
       String method, String host, String target, Optional<String> tenant, byte[] body) {
@@ -52,7 +52,7 @@
     hasher.putBytes(bytes);
   }
 
-  /** The first digits, for logs. */
+  /** Returns the first digits, for logs. */
   public String logName() {
     return text.substring(0, DIGITS_IN_LOGS);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/ResponsibleRouters.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/ResponsibleRouters.java
@@ -9,11 +9,12 @@
 import java.util.Comparator;
 
 /**
- * Which routers count the ends under a request that is not suspected yet, and which one may try a
- * request that is: the first by a hash of both, so that routers that know the same others agree.
+ * Assigns requests to routers by rendezvous hashing, so that routers that know the same peers
+ * agree. The first two routers for a request collect the crashes of servers that ran it, until it
+ * is suspected. From some time after the last crash only the first one may run its canary.
  */
 final class ResponsibleRouters {
-  /** Routers that count a request, so that one that dies does not take its ends along. */
+  /** More than one, so that the crashes are still known after a router dies. */
   private static final int COUNTING = 2;
 
   private static final HashFunction HASH = Hashing.murmur3_128();
@@ -26,13 +27,13 @@
     this.peers = peers;
   }
 
-  /** Whether this router is the first. */
+  /** Whether this router is the first for a request. */
   boolean isSelf(RequestKey key) {
     long own = weight(key, ownId);
     return peers.nearby().stream().noneMatch(router -> weight(key, router.id()) < own);
   }
 
-  /** Peer addresses of the others that count a request. */
+  /** Returns the peer addresses of the other routers that collect crashes for a request. */
   ImmutableList<String> others(RequestKey key) {
     int others = isSelf(key) ? COUNTING - 1 : COUNTING;
     return peers.nearby().stream()
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/Standing.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/Standing.java
@@ -2,16 +2,16 @@
 
 import java.util.Locale;
 
-/** What is believed of a request. */
+/** Whether a request may be sent to servers. */
 public enum Standing {
-  /** Nothing that keeps it from servers. */
+  /** It is sent to servers like any other. */
   FREE,
-  /** Several servers have ended under it and none has answered it: it is tried on one first. */
+  /** Several servers crashed while running it, none answered it: it needs a canary first. */
   SUSPECTED,
-  /** It has ended the server that it was tried on: no server gets it. */
+  /** It crashed the server that ran its canary: it is sent to no server. */
   QUARANTINED;
 
-  /** The word in logs. */
+  /** Returns the name in logs. */
   public String logName() {
     return name().toLowerCase(Locale.ROOT).replace('_', ' ');
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectNews.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectNews.java
@@ -22,26 +22,37 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Spreads what routers know of suspected requests: what is new goes to a few random routers, each
- * of which passes on what is new to it, so that all know it after a few steps whatever their
- * number. First ends, which come by the hundred where connections are reset, go to two routers that
- * count. What was lost on the way, or came before a router started, is repaired by repeating all
- * that is known against requests to random routers, and by asking after a start.
+ * Spreads reports about suspected requests by gossip. A router sends each change to a few random
+ * peers, and each peer that did not know the change does the same, so that all routers learn of it
+ * in a few rounds whatever the size of the fleet.
+ *
+ * <p>The first crashes under a request go only to the two routers that collect them: there are
+ * hundreds of such reports when connections are reset.
+ *
+ * <p>Reports that were lost, or were sent before a router started, are repaired: every router
+ * regularly sends all suspected requests to random peers, and asks peers for theirs after its
+ * start.
  */
 final class SuspectNews {
-  /** Routers that news goes to; with eight all but one in three thousand hear of it. */
+  /** With eight peers a gossip round misses one router in three thousand. */
   private static final int FANOUT = 8;
 
-  /** Ends that come together travel together. */
+  /** Changes within this time are sent in one message. */
   private static final Duration URGENT_DELAY = Duration.ofMillis(10);
 
-  /** First ends wait for the answers of other parts, which most often clear the request. */
+  /**
+   * First crashes are reported late, because the answer of another part usually clears the request
+   * meanwhile.
+   */
   private static final Duration FIRST_ENDS_DELAY = Duration.ofMillis(200);
 
   private static final Duration REPAIR_INTERVAL = Duration.ofSeconds(1);
   private static final int ROUTERS_TO_REPAIR = 2;
 
-  /** When a router that has just started asks others; the first may know as little. */
+  /**
+   * Delays after a start at which the router asks a peer. It asks more than once because the first
+   * peers may have just started too.
+   */
   private static final ImmutableList<Duration> QUESTION_TIMES =
       ImmutableList.of(
           Duration.ofMillis(300),
@@ -49,7 +60,7 @@
           Duration.ofMillis(1_500),
           Duration.ofMillis(3_000));
 
-  /** A report has some 120 bytes; this many fit a datagram. */
+  /** A report takes about 120 bytes; this many fit into a datagram. */
   private static final int REPORTS_PER_MESSAGE = 8;
 
   private static final int MOST_REPORTS_AT_ONCE = 64;
@@ -66,10 +77,10 @@
   private boolean repairs;
 
   /**
-   * Creates news without any.
+   * Creates the gossip of a router.
    *
-   * @param reports what is known of a request
-   * @param known the requests that a router that knows nothing must be told of
+   * @param reports returns the report about a request; empty if nothing is known about it
+   * @param known returns the requests that are suspected or quarantined
    */
   SuspectNews(
       PeerGroup peers,
@@ -88,14 +99,14 @@
     this.known = known;
   }
 
-  /** Asks other routers for theirs soon. */
+  /** Schedules the questions to peers after a start. */
   void start() {
     for (Duration time : QUESTION_TIMES) {
       timers.schedule(clock.nanoTime() + time.toNanos(), this::ask);
     }
   }
 
-  /** Soon tells all routers of a request that is, or was, kept from servers. */
+  /** Schedules gossip about a request that is, or was, suspected or quarantined. */
   void tellAll(RequestKey key) {
     if (untold.isEmpty()) {
       timers.schedule(clock.nanoTime() + URGENT_DELAY.toNanos(), this::spread);
@@ -107,7 +118,7 @@
     }
   }
 
-  /** Later tells the routers that count the first ends under a request. */
+  /** Schedules a report of the first crashes under a request to the routers that collect them. */
   void tellResponsible(RequestKey key) {
     if (uncounted.isEmpty()) {
       timers.schedule(clock.nanoTime() + FIRST_ENDS_DELAY.toNanos(), this::count);
@@ -115,7 +126,7 @@
     uncounted.add(key);
   }
 
-  /** Tells a router that has asked all that is known against requests. */
+  /** Sends the reports about all suspected requests to a peer that asked for them. */
   void answer(String address) {
     send(address, known.get());
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRecord.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRecord.java
@@ -7,20 +7,21 @@
 import java.util.List;
 import java.util.Set;
 
-/** What is known for and against one request. Times are this router's. */
+/**
+ * The crashes, answers and canaries of one request, as this router knows them. Times are readings
+ * of this router's clock.
+ */
 final class SuspectRecord {
   /**
-   * How long an answer speaks for a request: what has been in flight when servers ended under
-   * another one is told late.
+   * For how long crashes under a request are ignored after an answer to it. Crashes that another
+   * request caused while this one was in flight may be reported late.
    */
   private static final Duration CLEARANCE_LENGTH = Duration.ofSeconds(30);
 
-  /**
-   * Canaries that end neither with an answer nor with the server before the request is quarantined.
-   */
+  /** Canaries with neither an answer nor a crash after which the request is quarantined. */
   private static final int MOST_CANARIES_WITHOUT_RESULT = 3;
 
-  /** A quarantine that differs by less from the known one is no news. */
+  /** A reported quarantine that began within this time after the known one is the same one. */
   private static final long SAME_MOMENT_NANOS = Duration.ofSeconds(1).toNanos();
 
   private static final long NEVER = Long.MIN_VALUE;
@@ -64,7 +65,7 @@
     return canaryRuns;
   }
 
-  /** Whether every router may try it, not only the one that is responsible. */
+  /** Whether any router may run a canary, not only the responsible one. */
   boolean isCanaryTime(long nowNanos) {
     return quarantinedNanos == NEVER && nowNanos - newestEndNanos < rules.canaryTime().toNanos();
   }
@@ -74,9 +75,10 @@
   }
 
   /**
-   * A canary is over; its answer or its end under the request has been told before.
+   * A canary has finished. Its answer or the crash of its server has been reported before this
+   * call.
    *
-   * @param mayHaveRun whether it has reached a server
+   * @param mayHaveRun whether the canary may have reached a server
    */
   void onCanaryEnded(boolean mayHaveRun, long nowNanos) {
     if (!canaryRuns) {
@@ -90,10 +92,10 @@
   }
 
   /**
-   * A server has ended while the request was open there.
+   * A server crashed while the request was open there.
    *
-   * @param byCanary whether it was the server that the request was tried on
-   * @return whether that is news
+   * @param byCanary whether the server ran the canary
+   * @return whether the record changed
    */
   boolean onServerEnded(String server, boolean byCanary, long endNanos) {
     lastSeenNanos = Math.max(lastSeenNanos, endNanos);
@@ -123,9 +125,9 @@
   }
 
   /**
-   * A server has run the request to an answer.
+   * A server ran the request and answered.
    *
-   * @return whether that is news
+   * @return whether the record changed
    */
   boolean onAnswered(long nanos) {
     if (nanos <= clearedNanos) {
@@ -146,10 +148,10 @@
   }
 
   /**
-   * Takes what another router knows.
+   * Merges a report of another router.
    *
-   * @param asOfNanos when the newest of it happened
-   * @return whether that is news
+   * @param asOfNanos when the newest reported crash, answer or quarantine happened
+   * @return whether the record changed
    */
   boolean merge(ReportKind kind, List<String> servers, long asOfNanos) {
     lastSeenNanos = Math.max(lastSeenNanos, asOfNanos);
@@ -180,7 +182,7 @@
     return true;
   }
 
-  /** What other routers are told. */
+  /** Returns the report for other routers. */
   PeerBody.SuspectReport report(RequestKey key, long nowNanos) {
     ReportKind kind =
         quarantinedNanos != NEVER
@@ -197,7 +199,7 @@
         key.text(), kind.wireName(), ImmutableList.copyOf(ended), age);
   }
 
-  /** Whether it need not be remembered any more. */
+  /** Whether the record can be removed. */
   boolean isOver(long nowNanos) {
     boolean free = standing(nowNanos) == Standing.FREE;
     Duration kept = free ? CLEARANCE_LENGTH : rules.memory();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRequests.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRequests.java
@@ -16,12 +16,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The requests under which servers have ended lately, as this router and the others know them.
+ * The requests that servers were running when they crashed, as reported by this router and others.
  *
- * <p>Load patterns: one request that ends each server that runs it and comes again at any router
- * (its next coming reaches one server, later ones none); a rack that loses power under load (what
- * was in flight is cleared by the first answer of any of its parts, else tried on one server when
- * it comes again).
+ * <p>Load patterns that it is built for:
+ *
+ * <ul>
+ *   <li>One request crashes every server that runs it and is resubmitted to any router. Its next
+ *       arrival reaches one server, later arrivals reach none.
+ *   <li>A rack loses power under load. A request that was in flight is cleared by the first answer
+ *       to any of its parts; otherwise it is sent to one server as a canary when it is resubmitted.
+ * </ul>
  */
 public final class SuspectRequests {
   private static final Duration FORGET_INTERVAL = Duration.ofSeconds(10);
@@ -36,17 +40,17 @@
   private final Map<RequestKey, SuspectRecord> records = new LinkedHashMap<>();
   private long refused;
 
-  /** What may be done with a request that has come. */
+  /** What to do with an arriving request. */
   public enum Admission {
     /** It runs like any other. */
     RUN,
-    /** It is sent to one server; {@link #onCanaryEnded} must be told the end of that. */
+    /** It is sent to one server, and {@link #onCanaryEnded} is called when that has finished. */
     CANARY,
-    /** No server gets it. */
+    /** It is sent to no server. */
     REFUSE
   }
 
-  /** Creates a router's list, which is empty. */
+  /** Creates a router's record of suspected requests, which is empty. */
   public SuspectRequests(
       String ownId,
       SuspectRules rules,
@@ -65,17 +69,20 @@
         new SuspectNews(peers, responsible, clock, timers, random, this::report, this::known);
   }
 
-  /** Asks the others for theirs, also later: they may have started together. */
+  /**
+   * Asks other routers for their suspected requests, several times in the next seconds: the first
+   * peers may have just started too.
+   */
   public void start() {
     news.start();
   }
 
-  /** Whether nothing is known against any request, so that none needs its key. */
+  /** Whether no crash is recorded for any request. Then requests need no key. */
   public boolean isEmpty() {
     return records.isEmpty();
   }
 
-  /** Requests that are suspected or quarantined. */
+  /** Returns how many requests are suspected or quarantined. */
   public long count() {
     long nowNanos = clock.nanoTime();
     return records.values().stream()
@@ -83,12 +90,12 @@
         .count();
   }
 
-  /** Requests that were refused since the start. */
+  /** Returns how many requests were refused since the start. */
   public long refused() {
     return refused;
   }
 
-  /** Decides on a request that has come. */
+  /** Decides what to do with an arriving request. */
   public Admission admit(RequestKey key) {
     SuspectRecord known = records.get(key);
     long nowNanos = clock.nanoTime();
@@ -105,23 +112,23 @@
   }
 
   /**
-   * Later than shortly after the ends only one router tries, so that routers that have not heard of
-   * each other's canaries do not send the request to several servers.
+   * Shortly after the crashes any router may run a canary, later only the responsible one: routers
+   * that have not heard of each other's canaries would send the request to several servers.
    */
   private boolean mayRunCanary(RequestKey key, SuspectRecord known, long nowNanos) {
     return !known.hasCanary() && (known.isCanaryTime(nowNanos) || responsible.isSelf(key));
   }
 
-  /** What is believed of a request. */
+  /** Returns whether a request may be sent to servers. */
   public Standing standing(RequestKey key) {
     SuspectRecord known = records.get(key);
     return known == null ? Standing.FREE : known.standing(clock.nanoTime());
   }
 
   /**
-   * A server has ended while a request was open there, as far as its connection tells.
+   * A server crashed while a request was open there, as far as its connection shows.
    *
-   * @param byCanary whether the request was tried on that server
+   * @param byCanary whether the server ran the request's canary
    */
   public void onServerEnded(RequestKey key, String server, boolean byCanary) {
     long nowNanos = clock.nanoTime();
@@ -132,7 +139,7 @@
     }
   }
 
-  /** A server has run a request to an answer: it does not end servers. */
+  /** A server ran a request and answered, so the request does not crash servers. */
   public void onAnswered(RequestKey key) {
     SuspectRecord known = records.get(key);
     if (known == null) {
@@ -146,9 +153,9 @@
   }
 
   /**
-   * The run on one server has ended, whatever came of it.
+   * A canary has finished, with or without an answer.
    *
-   * @param mayHaveRun whether it has reached a server
+   * @param mayHaveRun whether the canary may have reached a server
    */
   public void onCanaryEnded(RequestKey key, boolean mayHaveRun) {
     SuspectRecord known = records.get(key);
@@ -163,7 +170,7 @@
     }
   }
 
-  /** Takes a message of another router; others than those about requests are left alone. */
+  /** Handles a message of another router; ignores messages that are not about requests. */
   public void onMessage(PeerMessage message) {
     PeerBody body = message.body();
     if (body instanceof PeerBody.SuspectNotice notice) {
@@ -201,7 +208,7 @@
     return known;
   }
 
-  /** Once nothing is known any more, no request needs its key. */
+  /** Requests need no key once the last record is gone, so expired ones are removed by a timer. */
   private void forgetLater() {
     timers.schedule(
         clock.nanoTime() + FORGET_INTERVAL.toNanos(),
@@ -249,7 +256,7 @@
     return Optional.ofNullable(records.get(key)).map(known -> known.report(key, clock.nanoTime()));
   }
 
-  /** What a router that knows nothing must be told. */
+  /** Returns the requests that are suspected or quarantined. */
   private ImmutableList<RequestKey> known() {
     long nowNanos = clock.nanoTime();
     return records.entrySet().stream()
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRules.java
@@ -3,22 +3,25 @@
 import java.time.Duration;
 
 /**
- * When a request is kept from servers.
+ * When a request is suspected and quarantined, and how long that is remembered.
  *
- * @param endsToSuspect servers that must have ended under a request before it is suspected
- * @param canaryTime how long after the last of these ends every router may try it on one server;
- *     later only one of all routers may. Must be over well before the bound from which such a
- *     request may not reach servers any more
- * @param hold how long a request that has ended the server of its canary is kept from all servers
- * @param memory how long a suspected request is remembered after it was last asked for
- * @param mostRequests that are remembered; the one that was asked for longest ago goes first
+ * @param endsToSuspect number of servers that must crash while running a request before it is
+ *     suspected
+ * @param canaryTime how long after the last of these crashes any router may run a canary; later
+ *     only the responsible one may. Must end well before the time by which all routers must refuse
+ *     a crashing request
+ * @param hold how long a request is quarantined after it crashed the server of its canary
+ * @param memory how long a request that is not free is remembered after it was last seen
+ * @param mostRequests maximum number of remembered requests; the one seen longest ago is evicted
+ *     first
  */
 public record SuspectRules(
     int endsToSuspect, Duration canaryTime, Duration hold, Duration memory, int mostRequests) {
   /**
-   * Three ends, as the users count them. Servers are back two seconds after their end, and then a
-   * sound request can be cleared at any router; of the users' four seconds more than one is left
-   * for the news and for what is on its way.
+   * A request is suspected after three crashes. Servers restart within two seconds, so the canary
+   * time of 2.5 s lets any router clear a harmless request once they are back. All routers must
+   * refuse a crashing request four seconds after the third crash; more than one second of them is
+   * left for gossip and for requests in flight.
    */
   public static final SuspectRules DEFAULT =
       new SuspectRules(
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/package-info.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Requests that end the servers that run them: knows them again when they come back, at any router,
- * and keeps them from servers.
+ * Recognizes requests that crash the servers that run them when they are resubmitted to any router,
+ * and stops sending them to servers.
  *
- * <p>A request is suspected after servers that end while it is open there, and is cleared by any
- * server that runs it to an answer. Routers tell each other both. Design: {@code
+ * <p>A request is suspected after several servers crashed while it was open there, and is cleared
+ * when any server answers it. Routers report both to each other. Design: {@code
  * docs/design/crashing-requests.md}.
  */
 package io.arrowarch.core.suspect;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/Authenticator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/Authenticator.java
@@ -5,35 +5,37 @@
 import java.util.function.Supplier;
 
 /**
- * Tells who a caller is by its key, as far as this router's view of the tenants can be trusted at
- * the moment. A view that may be behind neither lets a key in that may have been taken away nor
- * says of a key that nobody has it, since it may be new.
+ * Identifies callers by their API keys, as far as this router's view of the tenants is recent
+ * enough. With a view that may be out of date, a known key is not accepted where revocations are
+ * strict, since it may have been revoked, and an unknown key is not rejected for good, since it may
+ * be new.
  */
 public final class Authenticator {
   private final RevocationRules rules;
   private final Supplier<Optional<Duration>> viewAge;
 
-  /** What is known of a caller. */
+  /** The result of identifying a caller. */
   public sealed interface Identity {
     /**
-     * It may be served.
+     * The caller may be served.
      *
-     * @param tenant whose requests these are; empty on a public route without a known key, and
-     *     where there are no tenants
+     * @param tenant the tenant that the caller belongs to; empty on a public route without an
+     *     accepted key, and if the configuration has no tenants
      */
     record Known(Optional<Tenant> tenant) implements Identity {}
 
-    /** Nobody has its key, or it has none and needs one. */
+    /** The caller's key belongs to no tenant, or it sent no key and needs one. */
     record Unknown(String reason) implements Identity {}
 
-    /** This router's view is too old to tell. */
+    /** This router's view is too old to identify the caller. */
     record NotConfirmed(String reason) implements Identity {}
   }
 
   /**
    * Creates an authenticator.
    *
-   * @param viewAge how long ago the view of the tenants was last known to be complete; empty: never
+   * @param viewAge time since the view of the tenants was last known to be complete; empty if it
+   *     never was
    */
   public Authenticator(RevocationRules rules, Supplier<Optional<Duration>> viewAge) {
     this.rules = rules;
@@ -43,7 +45,7 @@
   /**
    * Identifies a caller.
    *
-   * @param isPublic whether its route needs no key
+   * @param isPublic whether the caller's route needs no key
    */
   public Identity identify(Tenants tenants, boolean isPublic, Optional<Credential> credential) {
     if (tenants.isEmpty()) {
@@ -57,17 +59,17 @@
       return new Identity.Known(Optional.empty());
     }
     if (owner.isPresent()) {
-      return new Identity.NotConfirmed("the key may have been taken away");
+      return new Identity.NotConfirmed("the key may have been revoked");
     }
     if (!isFresh()) {
-      return new Identity.NotConfirmed("the key may be newer than what this router knows");
+      return new Identity.NotConfirmed("the key may be newer than this router's view");
     }
     return new Identity.Unknown(credential.isPresent() ? "nobody has this key" : "a key is needed");
   }
 
   /**
-   * Whether an attempt may be sent now under a key that was known when its request was admitted.
-   * Where withdrawals are strict it must still be its tenant's, by a fresh view.
+   * Whether an attempt may be sent now with a key that was accepted when its request was admitted.
+   * Where revocations are strict, the key must still belong to the tenant by a recent view.
    */
   public boolean mayRun(Tenants tenants, String tenant, Credential credential) {
     if (!rules.strict()) {
@@ -78,12 +80,12 @@
     return held && isFresh();
   }
 
-  /** Whether the view is young enough to tell that nobody has a key. */
+  /** Whether the view is recent enough to tell that a key belongs to no tenant. */
   private boolean isFresh() {
     return viewAge.get().filter(rules::isFresh).isPresent();
   }
 
-  /** Whether requests with keys are refused because the view is too old. */
+  /** Whether requests with API keys are refused because the view is too old. */
   public boolean isClosed(Tenants tenants) {
     return !tenants.isEmpty() && !mayTrustKeys();
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/CountingRouters.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/CountingRouters.java
@@ -16,23 +16,26 @@
 import java.util.Optional;
 
 /**
- * Which router counts a tenant: the first by a hash of both, so that a router that comes or goes
- * changes the counting of few tenants, and routers that know the same others agree.
+ * Assigns tenants to the routers that count their requests, by rendezvous hashing: a router that
+ * joins or leaves moves the counts of few tenants, and routers that know the same peers agree.
  */
 final class CountingRouters {
-  /** One that did not answer is left for this long. */
+  /** A router that did not answer is not asked again for this long. */
   private static final Duration AVOIDANCE = Duration.ofSeconds(2);
 
-  /** A router that is gone may be on the other side of a split for this long. */
+  /**
+   * For how long the largest known fleet size is remembered. Routers that disappear within this
+   * time may be on the other side of a network split.
+   */
   private static final Duration SIZE_MEMORY = Duration.ofSeconds(60);
 
-  /** Routers that are tried for a tenant; this one counts where none of them answers. */
+  /** Routers that are tried for a tenant; if none answers, this router counts. */
   private static final int CANDIDATES = 3;
 
   /**
-   * What a router counts with in place of another until it knows that that one is gone: with it,
-   * two sides of a split that is not noticed for three seconds stay within the tolerance of a
-   * window.
+   * Maximum share of the limit that a router grants while it counts in place of another that it
+   * still lists. With this share, two sides of a network split that goes unnoticed for three
+   * seconds together stay within the tolerance of a window.
    */
   private static final double SUBSTITUTE_SHARE = 0.35;
 
@@ -50,7 +53,7 @@
   /**
    * A router that may count a tenant.
    *
-   * @param address IP:PORT for peers; empty: this router itself
+   * @param address IP:PORT for peers; empty for this router itself
    */
   record Candidate(String id, Optional<String> address) {}
 
@@ -61,7 +64,7 @@
     this.mostNanos = clock.nanoTime();
   }
 
-  /** The router that counts a tenant now; this one where no other answers. */
+  /** Returns the router that counts a tenant now; this one if no candidate answers. */
   Candidate of(String tenant) {
     forgetRankingOfOthers();
     for (Candidate candidate : byTenant.computeIfAbsent(tenant, this::rank)) {
@@ -73,8 +76,9 @@
   }
 
   /**
-   * The part of the fleet that this router counts a tenant for. One that is told although another
-   * comes first does not know whether that one has died or still counts for the rest of the fleet.
+   * Returns the part of the fleet, from 0 to 1, that this router counts a tenant for. A router that
+   * receives reports although another is ranked first does not know whether that one has died or
+   * still counts for the rest of the fleet.
    */
   double shareFor(String tenant) {
     forgetRankingOfOthers();
@@ -82,14 +86,14 @@
     return first.address().isEmpty() ? share() : Math.min(share(), SUBSTITUTE_SHARE);
   }
 
-  /** Notes that a router gave no verdict. */
+  /** Records that a router sent no verdict in time. */
   void onFailed(String id) {
     failedNanos.put(id, clock.nanoTime());
   }
 
   /**
-   * The part of the fleet that can be counted here: the routers that answer, of the most that there
-   * were lately.
+   * Returns the reachable part of the fleet, from 0 to 1: the routers that are listed now, divided
+   * by the largest number listed lately.
    */
   private double share() {
     long nowNanos = clock.nanoTime();
@@ -102,7 +106,7 @@
     return (double) reachable / most;
   }
 
-  /** The part of the fleet that this router is by itself. */
+  /** Returns the part of the fleet that this router is by itself, from 0 to 1. */
   double ownShare() {
     double unused = share();
     return 1.0 / most;
@@ -112,7 +116,7 @@
     return new Candidate(ownId, Optional.empty());
   }
 
-  /** Whether it is the very list: comparing its members would cost as much as ranking them anew. */
+  /** Compares lists by identity: comparing their members would cost as much as ranking again. */
   @SuppressWarnings("ReferenceEquality")
   private void forgetRankingOfOthers() {
     ImmutableList<NearbyRouter> nearby = peers.nearby();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/Credential.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/Credential.java
@@ -6,8 +6,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A caller's key, known by its hash only, so that nothing that holds, logs or sends one can show
- * the key. The hash is cryptographic: a caller could search for collisions of a weaker one.
+ * The hash of a caller's API key. Only the hash is kept, so that whatever stores, logs or sends a
+ * credential cannot reveal the key. The hash is cryptographic, because a caller could search for
+ * collisions of a weaker one.
  *
  * @param hash SHA-256 of the key in hexadecimal
  */
@@ -18,12 +19,12 @@
     requireNonNull(hash, "hash is null");
   }
 
-  /** The credential of a key as a caller sends it. */
+  /** Returns the credential of a key, given as the caller sends it. */
   public static Credential ofKey(String key) {
     return new Credential(Hashing.sha256().hashString(key, StandardCharsets.UTF_8).toString());
   }
 
-  /** Enough of the hash to tell keys apart in logs. */
+  /** Returns the first digits of the hash, which tell keys apart in logs. */
   public String shortHash() {
     return hash.substring(0, Math.min(SHORT_LENGTH, hash.length()));
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/LimitDecision.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/LimitDecision.java
@@ -4,14 +4,14 @@
 
 /** Whether a request is within the limit of its tenant. */
 public sealed interface LimitDecision {
-  /** It is, or there is none. */
+  /** The request is within the limit, or the tenant has none. */
   record Allowed() implements LimitDecision {}
 
   /**
-   * It is beyond.
+   * The request exceeds the limit.
    *
-   * @param retryAfter when it would be within, as far as is known now
-   * @param by the router that says so
+   * @param retryAfter delay after which it would be within the limit, as far as is known now
+   * @param by id of the router that decided
    */
   record Refused(Duration retryAfter, String by) implements LimitDecision {}
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/LimitRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/LimitRules.java
@@ -5,11 +5,11 @@
 import java.time.Duration;
 
 /**
- * By how much the requests of a tenant that run over all routers may go beyond its limit.
+ * By how much the requests of a tenant that run at all routers together may exceed its limit.
  *
- * @param window every span of this length counts
- * @param overshoot part of what the limit allows within a window
- * @param slack requests within a window beside that
+ * @param window the bound holds for every period of this length
+ * @param overshoot allowed excess, as a fraction of what the limit allows within a window
+ * @param slack further requests that are allowed within a window
  */
 public record LimitRules(Duration window, double overshoot, double slack) {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -22,7 +22,7 @@
     return window.toNanos() / NANOS_PER_SECOND;
   }
 
-  /** Requests within a window that may run beyond what a limit allows. */
+  /** Returns how many requests beyond a limit may run within a window. */
   double tolerance(TenantLimit limit) {
     return overshoot * limit.within(windowSeconds()) + slack;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/OwnParts.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/OwnParts.java
@@ -5,8 +5,9 @@
 import java.util.function.Predicate;
 
 /**
- * What this router lets run of each tenant while it reaches no router that counts it: its own part
- * of what a window allows, one request at least, for which the slack pays.
+ * Limits the tenants at this router alone while it reaches no counting router: each tenant gets
+ * this router's part of what the limit allows within a window, but at least one request. The slack
+ * of the limit rules covers these single requests.
  */
 final class OwnParts {
   private static final double ONE = 1;
@@ -19,10 +20,10 @@
   }
 
   /**
-   * Lets one request run, if this router's part allows it.
+   * Takes one request from this router's part if that allows it.
    *
-   * @param share of the fleet that this router is, from 0 to 1
-   * @return 0 when it may run, else for how long it would be refused
+   * @param share the part of the fleet that this router is, from 0 to 1
+   * @return 0 if the request may run, else the nanoseconds until one may
    */
   long refusedNanos(String tenant, TenantLimit limit, double share, long nowNanos) {
     double capacity = Math.max(ONE, share * limit.within(rules.windowSeconds()));
@@ -38,7 +39,7 @@
     return refused;
   }
 
-  /** Forgets the other tenants. */
+  /** Removes the tenants that the predicate rejects. */
   void retain(Predicate<String> tenants) {
     buckets.keySet().removeIf(tenants.negate());
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/RevocationRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/RevocationRules.java
@@ -5,21 +5,24 @@
 import java.time.Duration;
 
 /**
- * Within what time a change of tenants binds.
+ * How soon the revocation of an API key takes effect.
  *
- * @param strict whether a request must not run when this router cannot tell that its key has not
- *     been taken away longer ago than {@code bound}
- * @param bound from the moment at which a key is taken away until no request of it may run
+ * @param strict whether a request is refused when this router cannot rule out that its key was
+ *     revoked more than {@code bound} ago
+ * @param bound time after the revocation of a key from which no request with it may run
  */
 public record RevocationRules(boolean strict, Duration bound) {
-  /** Clocks of two machines differ by less than this within a bound, and messages are rounded. */
+  /**
+   * Covers the drift between the clocks of two machines during the bound, and the rounding of times
+   * in messages.
+   */
   private static final Duration MARGIN = Duration.ofMillis(150);
 
   public RevocationRules {
     requireNonNull(bound, "bound is null");
   }
 
-  /** Whether a view of this age may tell who a caller is. */
+  /** Whether callers may be identified by a view of this age. */
   boolean isFresh(Duration viewAge) {
     return viewAge.compareTo(bound.minus(MARGIN)) < 0;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/Tenant.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/Tenant.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 
 /**
- * Somebody whose requests are told apart by their keys.
+ * A client of the fleet, whose requests are recognized by its API keys.
  *
- * @param credentials of its keys
- * @param priority takes the place of that of its requests' routes; 0 is the most urgent
- * @param limit over all routers; empty where there is none
+ * @param credentials hashes of its keys
+ * @param priority replaces the priority of the routes of its requests; 0 is the most urgent
+ * @param limit rate limit over all routers; empty if the tenant has none
  */
 public record Tenant(
     String name,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCount.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCount.java
@@ -4,21 +4,27 @@
 import java.util.Map;
 
 /**
- * What one tenant has used of its limit, as the router that counts it knows. Requests that ran
- * before this router heard of them are paid from the limit, then from the tolerance, and only what
- * is beyond both is owed.
+ * What one tenant has used of its limit, as known to the router that counts it. Requests that ran
+ * before this router received the report of them are charged to the limit first and to the
+ * tolerance next; only what exceeds both overdraws the limit.
  */
 final class TenantCount {
-  /** Of the tolerance for lateness; the rest is kept for a change of the counting router. */
+  /**
+   * Fraction of the tolerance for requests that are reported late. The rest is reserved for a
+   * change of the counting router.
+   */
   private static final double LATENESS_FRACTION = 0.5;
 
-  /** What a router that begins to count may allow beyond what an earlier one has allowed. */
+  /**
+   * Fraction of the tolerance that a router grants when it starts to count, in addition to what an
+   * earlier counting router granted.
+   */
   private static final double FRESH_FRACTION = 0.4;
 
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double SECOND = 1;
 
-  /** One request is within the limit while so much is left. */
+  /** A request is within the limit while at least this many tokens are left. */
   private static final double ONE = 1;
 
   private final LimitRules rules;
@@ -30,13 +36,13 @@
   private long promisedNanos;
   private boolean near;
 
-  /** What one incarnation of a router has told. */
+  /** The newest report from one incarnation of a router. */
   private record Reported(long incarnation, long number, long total) {}
 
   /**
-   * Begins to count.
+   * Starts to count.
    *
-   * @param share of the fleet that this router can count for, from 0 to 1
+   * @param share the part of the fleet that this router counts for, from 0 to 1
    */
   TenantCount(LimitRules rules, TenantLimit limit, double share, long nowNanos) {
     this.rules = rules;
@@ -48,7 +54,7 @@
     this.promisedNanos = nowNanos;
   }
 
-  /** Takes another limit or share; what is held beyond the new capacity is lost. */
+  /** Changes the limit and the share; tokens beyond the new capacity are dropped. */
   void reconfigure(TenantLimit changedLimit, double changedShare, long nowNanos) {
     if (changedLimit.equals(limit) && changedShare == share) {
       return;
@@ -60,11 +66,13 @@
   }
 
   /**
-   * Takes what a router tells; a message that is older than one taken before says nothing.
+   * Charges what a router reports. A message that is older than an earlier one of the same
+   * incarnation is ignored.
    *
-   * @param number of the message, rises within an incarnation
-   * @param total used there since its start
-   * @param unacknowledged of these, what no counting router has acknowledged
+   * @param number number of the message; it rises within an incarnation
+   * @param total requests that ran at that router since its start
+   * @param unacknowledged those of {@code total} that no counting router has acknowledged; charged
+   *     on the first report of an incarnation
    */
   void onUse(
       String router,
@@ -83,7 +91,7 @@
     charge((double) news, nowNanos);
   }
 
-  /** Lets one more request of a router run, if the limit allows it. */
+  /** Grants one more request of a router if the limit allows it. */
   boolean grant(String router, long nowNanos) {
     if (allowed.tokens(nowNanos) < ONE) {
       return false;
@@ -96,14 +104,15 @@
     return true;
   }
 
-  /** For how long every request would be beyond the limit. */
+  /** Returns for how long every request would exceed the limit. */
   long refusedNanos(long nowNanos) {
     return allowed.nanosUntil(ONE, nowNanos);
   }
 
   /**
-   * When a caller that was refused should come back: each gets the moment of one more request of
-   * the limit, so that they do not come back together.
+   * Returns after what delay a refused caller should retry. Each caller gets the time of one
+   * further request of the limit, so that they do not all retry at once. The delay is at most one
+   * window.
    */
   long promiseNanos(long nowNanos) {
     long first = nowNanos + refusedNanos(nowNanos);
@@ -112,7 +121,10 @@
     return promisedNanos - nowNanos;
   }
 
-  /** Whether each request is to be asked for; goes on until half of the burst is there again. */
+  /**
+   * Whether routers must ask for each request. Once that is so, it stays so until half of the
+   * capacity is available again.
+   */
   boolean isNearLimit(long nowNanos) {
     double left = allowed.tokens(nowNanos);
     if (left < ONE) {
@@ -123,7 +135,7 @@
     return near;
   }
 
-  /** What is left of the limit, for operators. */
+  /** Returns the tokens that are left of the limit, for log lines. */
   double left(long nowNanos) {
     return allowed.tokens(nowNanos);
   }
@@ -141,8 +153,10 @@
   }
 
   /**
-   * Of a part of the fleet: its part of the limit with the tolerance, at most the whole limit.
-   * Parts that cannot reach each other then stay within both together.
+   * Returns the factor by which the limit is scaled for a part of the fleet: the part's share of
+   * limit and tolerance, at most the whole limit. Parts that cannot reach each other then together
+   * stay within limit and tolerance. Within a window an unscaled bucket grants what the limit
+   * allows and, because of its capacity, the requests of one second more.
    */
   private double scale() {
     double within = limit.within(rules.windowSeconds());
@@ -154,7 +168,7 @@
     return scale() * limit.ratePerSecond();
   }
 
-  /** The burst, beside the requests of one second. */
+  /** The scaled burst and the requests of one second, but at least one request. */
   private double capacity() {
     return Math.max(ONE, scale() * (limit.burst() + SECOND * limit.ratePerSecond()));
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCounter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCounter.java
@@ -16,14 +16,14 @@
 import java.util.function.Function;
 
 /**
- * Counts the requests of some tenants over all routers, and tells the others which tenants are near
- * their limits.
+ * Counts, for all routers, the requests of the tenants that are assigned to this router, and tells
+ * the others which of these tenants are near their limits.
  */
 final class TenantCounter {
-  /** How long the others ask for each request of a tenant that is near its limit. */
+  /** For how long routers ask for each request of a tenant after it was near its limit. */
   static final Duration LEASE = Duration.ofSeconds(2);
 
-  /** The others are told anew at this part of the lease, while the tenant is near its limit. */
+  /** While the tenant is near its limit, the lease is renewed this often within its duration. */
   private static final int RENEWALS = 2;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -39,7 +39,7 @@
   private final Map<String, TenantCount> counts = new HashMap<>();
   private final Map<String, Long> toldNanos = new HashMap<>();
 
-  /** On one request; the other fields are those of a verdict. */
+  /** A decision on one request; the durations are those of a verdict. */
   private record Decision(boolean granted, long retryAfterNanos, long refusedNanos) {
     private static final Decision GRANTED = new Decision(true, 0, 0);
   }
@@ -47,7 +47,7 @@
   /**
    * Creates a counter.
    *
-   * @param limits the limit of a tenant by its name, by the configuration in force here
+   * @param limits returns the limit of a tenant by its name, from the configuration in force here
    */
   TenantCounter(
       LimitRules rules,
@@ -68,7 +68,7 @@
     this.events = events;
   }
 
-  /** Takes what a router has used, and decides on the request that it asks for. */
+  /** Charges what a router reports, and decides on the request that it asks for, if any. */
   PeerBody.TenantVerdict onUse(String router, long incarnation, PeerBody.TenantUse message) {
     long nowNanos = clock.nanoTime();
     ImmutableList.Builder<PeerBody.Limited> near = ImmutableList.builder();
@@ -96,13 +96,16 @@
         near.build());
   }
 
-  /** Forgets tenants that have no limit any more. */
+  /** Removes the counts of tenants that have no limit any more. */
   void forgetUnlimited() {
     counts.keySet().removeIf(tenant -> limits.apply(tenant).isEmpty());
     toldNanos.keySet().retainAll(counts.keySet());
   }
 
-  /** A tenant without a limit by this router's configuration is not limited by another's. */
+  /**
+   * Decides on one request. It is granted if this router's configuration has no limit for the
+   * tenant, even if the asking router's has one.
+   */
   private Decision decide(String router, String asks, long nowNanos) {
     Optional<TenantCount> asked = asks.isEmpty() ? Optional.empty() : countOf(asks, nowNanos);
     if (asked.isEmpty() || asked.get().grant(router, nowNanos)) {
@@ -150,7 +153,10 @@
     events.log(new RouterEvent.TenantChanged(tenant, state, ownId, left));
   }
 
-  /** All routers of the own zone, and one of each other zone, which passes it on there. */
+  /**
+   * Sends the notice to all routers of the own zone, and to one router of each other zone, which
+   * forwards it within its zone.
+   */
   private void tellOthers(PeerBody.Limited limited) {
     ImmutableList<PeerBody.Limited> limits = ImmutableList.of(limited);
     Set<String> told = new HashSet<>();
@@ -162,7 +168,7 @@
     }
   }
 
-  /** Rounded up, so that a caller does not come a moment too early. */
+  /** Rounds up, so that a caller does not retry slightly too early. */
   private static long millis(long nanos) {
     return (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimit.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimit.java
@@ -1,19 +1,20 @@
 package io.arrowarch.core.tenant;
 
 /**
- * How much a tenant may ask of all routers together.
+ * A tenant's rate limit over all routers together.
  *
- * @param ratePerSecond requests a second in the long run
- * @param burst requests that may come at once beside that
+ * @param ratePerSecond requests per second in the long run
+ * @param burst requests that may arrive at once in addition
  */
 public record TenantLimit(double ratePerSecond, double burst) {
   public TenantLimit {
     if (!(ratePerSecond > 0) || !(burst >= 0)) {
-      throw new IllegalArgumentException("a limit needs a rate above 0 and no negative burst");
+      throw new IllegalArgumentException(
+          "ratePerSecond must be above 0 and burst must not be negative");
     }
   }
 
-  /** What the limit allows within a window of this many seconds. */
+  /** Returns how many requests the limit allows within a window of this many seconds. */
   double within(double seconds) {
     return ratePerSecond * seconds + burst;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimiter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimiter.java
@@ -24,37 +24,49 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps each tenant within its limit over all routers. A request of a tenant that is far from it is
- * admitted at once and told to the router that counts the tenant; near the limit each is asked for
- * there. Limits of lateness: {@code docs/design/tenant-limits.md}.
+ * Keeps each tenant within its limit over all routers. While a tenant is far from its limit, its
+ * requests are admitted at once and reported to the router that counts them. Near the limit, this
+ * router asks the counting router before it admits a request. The delay of the reports is bounded
+ * as described in {@code docs/design/tenant-limits.md}.
  *
- * <p>Load patterns: many tenants whose requests come to one router once in many seconds (shares for
- * each router would refuse what is allowed, a question for each would cost a search a tenth of its
- * objective); one tenant far beyond its limit with callers that repeat at once (refused from
- * memory).
+ * <p>Load patterns that it is built for:
+ *
+ * <ul>
+ *   <li>Many tenants, each with one request in many seconds at a router. Fixed shares per router
+ *       would refuse requests that are within the limit, and asking for each request would cost a
+ *       search a tenth of its latency objective.
+ *   <li>One tenant far beyond its limit, whose callers retry at once. They are refused without
+ *       asking the counting router again.
+ * </ul>
  */
 public final class TenantLimiter {
-  /** News of use is gathered for this long; the tolerance pays for what runs meanwhile. */
+  /** Use is collected this long before it is reported; the tolerance covers what runs meanwhile. */
   private static final Duration REPORT_DELAY = Duration.ofMillis(50);
 
-  /** A counting router that gives no verdict within this is left for another. */
+  /** If a counting router sends no verdict within this time, another is asked. */
   private static final Duration VERDICT_TIMEOUT = Duration.ofMillis(150);
 
-  /** Requests of a tenant that run here while no counting router acknowledges any. */
+  /** Requests of a tenant that may run here before a counting router has acknowledged them. */
   private static final int MOST_UNACKNOWLEDGED = 3;
 
-  /** Counting routers that are asked for one request before this router decides alone. */
+  /** Counting routers that are asked for one request before this router decides by itself. */
   private static final int ROUTERS_TO_ASK = 2;
 
-  /** A refused caller comes back up to this part later, so that not all come at once. */
+  /** The retry delay is lengthened by a random part up to this, so that retries spread out. */
   private static final double RETRY_SPREAD = 0.25;
 
   private static final Duration SHORTEST_RETRY_AFTER = Duration.ofMillis(50);
 
-  /** Messages are numbered from anywhere below this, so that no verdict is for another life's. */
+  /**
+   * Message numbers start at a random value below this, so that a verdict on a message of an
+   * earlier incarnation of this router matches none of this one.
+   */
   private static final long HIGHEST_FIRST_NUMBER = 1L << 40;
 
-  /** What this router counts of itself goes with it, so that no two need be told apart. */
+  /**
+   * Incarnation in reports to itself: its counts are lost when it stops, so that its incarnations
+   * need not be distinguished.
+   */
   private static final long OWN_INCARNATION = 0;
 
   private final String ownId;
@@ -75,19 +87,19 @@
   private long nextNumber;
   private long refused;
 
-  /** A request that waits for a verdict. */
+  /** A request that may be waiting for a verdict. */
   public interface Asked {
-    /** Its caller has gone: nobody wants the verdict any more. */
+    /** Drops the verdict, because the caller has gone. */
     void cancel();
   }
 
   private static final Asked NOTHING = () -> {};
 
-  /** A message to a counting router that has not been answered. */
+  /** A message to a counting router that has not answered it yet. */
   private record Message(
       CountingRouters.Candidate to, ImmutableList<PeerBody.Use> uses, Optional<Question> asks) {}
 
-  /** One request that is asked for. */
+  /** A request that a counting router is asked for. */
   private static final class Question implements Asked {
     private final Tenant tenant;
     private final Consumer<LimitDecision> sink;
@@ -108,7 +120,7 @@
   /**
    * Creates a limiter.
    *
-   * @param tenants of the configuration in force
+   * @param tenants returns the tenants of the configuration in force
    */
   public TenantLimiter(
       String ownId,
@@ -135,12 +147,12 @@
         new TenantCounter(rules, ownId, ownZone, routers, peers, this::limitOf, clock, events);
   }
 
-  /** Requests that were refused here since the start. */
+  /** Returns how many requests this router refused since its start. */
   public long refused() {
     return refused;
   }
 
-  /** Another configuration is in force: tenants that have gone are forgotten. */
+  /** Another configuration is in force: removes the state of tenants that have no limit in it. */
   public void onReconfigured() {
     usages.keySet().removeIf(name -> limitOf(name).isEmpty());
     ownParts.retain(name -> limitOf(name).isPresent());
@@ -148,9 +160,10 @@
   }
 
   /**
-   * Asks whether a request may run.
+   * Decides whether a request may run, at once or after asking a counting router.
    *
-   * @param sink told once, perhaps before this method returns, unless the question is cancelled
+   * @param sink receives the decision once, perhaps before this method returns; not called after a
+   *     cancellation
    */
   public Asked acquire(Tenant tenant, Consumer<LimitDecision> sink) {
     if (tenant.limit().isEmpty()) {
@@ -172,7 +185,7 @@
     return question;
   }
 
-  /** A request that was allowed has not run and will not: its unit is given back. */
+  /** Refunds a request that was allowed but has not run and will not run. */
   public void giveBack(Tenant tenant) {
     if (tenant.limit().isPresent()) {
       usageOf(tenant.name(), clock.nanoTime()).onReturned();
@@ -180,7 +193,7 @@
     }
   }
 
-  /** Takes a message of another router about tenants. */
+  /** Handles a message of another router about tenants. */
   public void onMessage(PeerMessage message) {
     MemberRecord sender = message.sender();
     PeerBody body = message.body();
@@ -278,7 +291,7 @@
         question.ended = true;
         admit(question.tenant.name(), question.sink);
       } else {
-        // Counted there and not used: the total that is told next says so.
+        // Counted there but not used: the next report, with an unchanged total, corrects it.
         tellLater(question.tenant.name());
       }
       return;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantRules.java
@@ -3,10 +3,10 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * What binds requests of tenants, for all of them alike.
+ * Rules that apply to the requests of all tenants.
  *
- * @param revocation within what time a change of keys binds
- * @param limits by how much limits may be overshot
+ * @param revocation how soon the revocation of a key takes effect
+ * @param limits by how much limits may be exceeded
  */
 public record TenantRules(RevocationRules revocation, LimitRules limits) {
   public TenantRules {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantUsage.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantUsage.java
@@ -2,7 +2,10 @@
 
 import java.time.Duration;
 
-/** What one tenant has used at this router, and what the counting router has said of it. */
+/**
+ * How many requests of one tenant ran at this router, and what the counting router has answered
+ * about the tenant.
+ */
 final class TenantUsage {
   private long total;
   private long acknowledged;
@@ -22,27 +25,27 @@
     return Math.max(0, total - acknowledged);
   }
 
-  /** One more request runs. */
+  /** A request was admitted. */
   void onAdmitted() {
     total++;
   }
 
-  /** A request that was admitted has not run and will not. */
+  /** An admitted request has not run and will not run. */
   void onReturned() {
     total--;
   }
 
-  /** A counting router has taken a total. */
+  /** A counting router has received a reported total. */
   void onAcknowledged(long reported) {
     acknowledged = Math.max(acknowledged, reported);
   }
 
-  /** Each request is to be asked for, for so long. */
+  /** For this long, the counting router must be asked for each request. */
   void onNearLimit(Duration length, long nowNanos) {
     askUntilNanos = Math.max(askUntilNanos, nowNanos + length.toNanos());
   }
 
-  /** Every request would be beyond the limit for so long. */
+  /** For this long, every request would exceed the limit. */
   void onRefused(Duration length, long nowNanos) {
     refusedUntilNanos = nowNanos + length.toNanos();
   }
@@ -51,7 +54,7 @@
     return nowNanos < askUntilNanos;
   }
 
-  /** Nanoseconds for which every request is refused; 0 when one may be asked for. */
+  /** Returns the nanoseconds for which every request is refused; 0 if requests may be asked for. */
   long refusedNanos(long nowNanos) {
     return Math.max(0, refusedUntilNanos - nowNanos);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/Tenants.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/Tenants.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The tenants of one version of the configuration, immutable. */
+/** The tenants of one configuration version. Immutable. */
 public final class Tenants {
-  /** Of a configuration without tenants, in which no request needs a key. */
+  /** A configuration without tenants, in which no request needs a key. */
   public static final Tenants NONE = new Tenants(ImmutableList.of());
 
   private final ImmutableList<Tenant> all;
@@ -16,8 +16,8 @@
   private final ImmutableMap<String, Tenant> byName;
 
   /**
-   * Creates the tenants of a version. A key of two tenants belongs to the first; so does a name
-   * that is given twice.
+   * Creates the tenants of a version. A key or a name that two tenants share belongs to the first
+   * of them.
    */
   public Tenants(ImmutableList<Tenant> all) {
     this.all = all;
@@ -31,22 +31,22 @@
     this.byName = ImmutableMap.copyOf(names);
   }
 
-  /** Whether there is none, so that no request needs a key. */
+  /** Whether there are no tenants, so that no request needs a key. */
   public boolean isEmpty() {
     return all.isEmpty();
   }
 
-  /** All of them, in the order of the document. */
+  /** Returns all tenants, in the order of the configuration document. */
   public ImmutableList<Tenant> all() {
     return all;
   }
 
-  /** Whose key it is, if anybody's. */
+  /** Returns the tenant that a key belongs to; empty if there is none. */
   public Optional<Tenant> ownerOf(Credential credential) {
     return Optional.ofNullable(byCredential.get(credential));
   }
 
-  /** The tenant of a name, if there is one. */
+  /** Returns the tenant with a name; empty if there is none. */
   public Optional<Tenant> find(String name) {
     return Optional.ofNullable(byName.get(name));
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TokenBucket.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TokenBucket.java
@@ -1,6 +1,6 @@
 package io.arrowarch.core.tenant;
 
-/** A count that fills at a rate up to a capacity, and may be overdrawn. */
+/** A token bucket whose count may become negative. */
 final class TokenBucket {
   private static final double NANOS_PER_SECOND = 1e9;
 
@@ -16,7 +16,7 @@
     this.filledNanos = nowNanos;
   }
 
-  /** Takes another rate and capacity; what is held beyond the capacity is lost. */
+  /** Changes the rate and the capacity; tokens beyond the new capacity are dropped. */
   void reconfigure(double changedRate, double changedCapacity, long nowNanos) {
     fill(nowNanos);
     ratePerSecond = changedRate;
@@ -29,13 +29,13 @@
     return tokens;
   }
 
-  /** Takes this many tokens, or gives them back when negative. */
+  /** Takes this many tokens, even if there are fewer; a negative count returns tokens. */
   void take(double count, long nowNanos) {
     fill(nowNanos);
     tokens = Math.min(capacity, tokens - count);
   }
 
-  /** Nanoseconds until this many tokens are there; 0 when they are. */
+  /** Returns the nanoseconds until this many tokens are available; 0 if they are now. */
   long nanosUntil(double count, long nowNanos) {
     double missing = count - tokens(nowNanos);
     return missing <= 0 ? 0 : (long) Math.ceil(missing / ratePerSecond * NANOS_PER_SECOND);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/package-info.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tenants: who a caller is by its key, and how much each tenant may ask of all routers together.
- * Keys are known by their hashes only.
+ * Tenants: identifies callers by their API keys, and keeps each tenant within its rate limit over
+ * all routers together. Only the hashes of keys are kept.
  */
 package io.arrowarch.core.tenant;
