--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestMonitor.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestMonitor.java
@@ -88,7 +88,7 @@
    */
   void onConnectionBroken(String server) {
     if (!answered) {
-      suspects.onServerEnded(key(), server, canary);
+      suspects.onServerCrashed(key(), server, canary);
     }
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/ResponsibleRouters.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/ResponsibleRouters.java
@@ -15,7 +15,7 @@
  */
 final class ResponsibleRouters {
   /** More than one, so that the crashes are still known after a router dies. */
-  private static final int COUNTING = 2;
+  private static final int COLLECTING_ROUTERS = 2;
 
   private static final HashFunction HASH = Hashing.murmur3_128();
 
@@ -35,7 +35,7 @@
 
   /** Returns the peer addresses of the other routers that collect crashes for a request. */
   ImmutableList<String> others(RequestKey key) {
-    int others = isSelf(key) ? COUNTING - 1 : COUNTING;
+    int others = isSelf(key) ? COLLECTING_ROUTERS - 1 : COLLECTING_ROUTERS;
     return peers.nearby().stream()
         .sorted(Comparator.comparingLong(router -> weight(key, router.id())))
         .limit(others)
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectNews.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectGossip.java
@@ -33,18 +33,18 @@
  * regularly sends all suspected requests to random peers, and asks peers for theirs after its
  * start.
  */
-final class SuspectNews {
+final class SuspectGossip {
   /** With eight peers a gossip round misses one router in three thousand. */
   private static final int FANOUT = 8;
 
   /** Changes within this time are sent in one message. */
-  private static final Duration URGENT_DELAY = Duration.ofMillis(10);
+  private static final Duration GOSSIP_DELAY = Duration.ofMillis(10);
 
   /**
    * First crashes are reported late, because the answer of another part usually clears the request
    * meanwhile.
    */
-  private static final Duration FIRST_ENDS_DELAY = Duration.ofMillis(200);
+  private static final Duration FIRST_CRASHES_DELAY = Duration.ofMillis(200);
 
   private static final Duration REPAIR_INTERVAL = Duration.ofSeconds(1);
   private static final int ROUTERS_TO_REPAIR = 2;
@@ -53,7 +53,7 @@
    * Delays after a start at which the router asks a peer. It asks more than once because the first
    * peers may have just started too.
    */
-  private static final ImmutableList<Duration> QUESTION_TIMES =
+  private static final ImmutableList<Duration> QUESTION_DELAYS =
       ImmutableList.of(
           Duration.ofMillis(300),
           Duration.ofMillis(800),
@@ -63,7 +63,7 @@
   /** A report takes about 120 bytes; this many fit into a datagram. */
   private static final int REPORTS_PER_MESSAGE = 8;
 
-  private static final int MOST_REPORTS_AT_ONCE = 64;
+  private static final int MAXIMUM_REPORTS_PER_SEND = 64;
 
   private final PeerGroup peers;
   private final ResponsibleRouters responsible;
@@ -71,78 +71,78 @@
   private final TimerQueue timers;
   private final RandomGenerator random;
   private final Function<RequestKey, Optional<PeerBody.SuspectReport>> reports;
-  private final Supplier<ImmutableList<RequestKey>> known;
-  private final Set<RequestKey> untold = new LinkedHashSet<>();
-  private final Set<RequestKey> uncounted = new LinkedHashSet<>();
-  private boolean repairs;
+  private final Supplier<ImmutableList<RequestKey>> suspectedKeys;
+  private final Set<RequestKey> pendingGossip = new LinkedHashSet<>();
+  private final Set<RequestKey> pendingFirstCrashes = new LinkedHashSet<>();
+  private boolean repairScheduled;
 
   /**
    * Creates the gossip of a router.
    *
    * @param reports returns the report about a request; empty if nothing is known about it
-   * @param known returns the requests that are suspected or quarantined
+   * @param suspectedKeys returns the requests that are suspected or quarantined
    */
-  SuspectNews(
+  SuspectGossip(
       PeerGroup peers,
       ResponsibleRouters responsible,
       RouterClock clock,
       TimerQueue timers,
       RandomGenerator random,
       Function<RequestKey, Optional<PeerBody.SuspectReport>> reports,
-      Supplier<ImmutableList<RequestKey>> known) {
+      Supplier<ImmutableList<RequestKey>> suspectedKeys) {
     this.peers = peers;
     this.responsible = responsible;
     this.clock = clock;
     this.timers = timers;
     this.random = random;
     this.reports = reports;
-    this.known = known;
+    this.suspectedKeys = suspectedKeys;
   }
 
   /** Schedules the questions to peers after a start. */
   void start() {
-    for (Duration time : QUESTION_TIMES) {
+    for (Duration time : QUESTION_DELAYS) {
       timers.schedule(clock.nanoTime() + time.toNanos(), this::ask);
     }
   }
 
   /** Schedules gossip about a request that is, or was, suspected or quarantined. */
-  void tellAll(RequestKey key) {
-    if (untold.isEmpty()) {
-      timers.schedule(clock.nanoTime() + URGENT_DELAY.toNanos(), this::spread);
+  void gossipLater(RequestKey key) {
+    if (pendingGossip.isEmpty()) {
+      timers.schedule(clock.nanoTime() + GOSSIP_DELAY.toNanos(), this::sendPendingGossip);
     }
-    untold.add(key);
-    if (!repairs) {
-      repairs = true;
+    pendingGossip.add(key);
+    if (!repairScheduled) {
+      repairScheduled = true;
       scheduleRepair();
     }
   }
 
   /** Schedules a report of the first crashes under a request to the routers that collect them. */
-  void tellResponsible(RequestKey key) {
-    if (uncounted.isEmpty()) {
-      timers.schedule(clock.nanoTime() + FIRST_ENDS_DELAY.toNanos(), this::count);
+  void reportFirstCrashLater(RequestKey key) {
+    if (pendingFirstCrashes.isEmpty()) {
+      timers.schedule(clock.nanoTime() + FIRST_CRASHES_DELAY.toNanos(), this::sendFirstCrashes);
     }
-    uncounted.add(key);
+    pendingFirstCrashes.add(key);
   }
 
   /** Sends the reports about all suspected requests to a peer that asked for them. */
   void answer(String address) {
-    send(address, known.get());
+    send(address, suspectedKeys.get());
   }
 
-  private void spread() {
-    ImmutableList<RequestKey> keys = ImmutableList.copyOf(untold);
-    untold.clear();
+  private void sendPendingGossip() {
+    ImmutableList<RequestKey> keys = ImmutableList.copyOf(pendingGossip);
+    pendingGossip.clear();
     sample(FANOUT).forEach(address -> send(address, keys));
   }
 
-  private void count() {
+  private void sendFirstCrashes() {
     ListMultimap<String, RequestKey> byRouter = ArrayListMultimap.create();
-    for (RequestKey key : uncounted) {
+    for (RequestKey key : pendingFirstCrashes) {
       responsible.others(key).forEach(address -> byRouter.put(address, key));
     }
-    uncounted.clear();
+    pendingFirstCrashes.clear();
     byRouter.asMap().forEach(this::send);
   }
 
@@ -155,9 +155,9 @@
   }
 
   private void repair() {
-    ImmutableList<RequestKey> keys = known.get();
+    ImmutableList<RequestKey> keys = suspectedKeys.get();
     if (keys.isEmpty()) {
-      repairs = false;
+      repairScheduled = false;
       return;
     }
     sample(ROUTERS_TO_REPAIR).forEach(address -> send(address, keys));
@@ -165,9 +165,13 @@
   }
 
   private void send(String address, Collection<RequestKey> keys) {
-    List<PeerBody.SuspectReport> known =
-        keys.stream().limit(MOST_REPORTS_AT_ONCE).map(reports).flatMap(Optional::stream).toList();
-    for (List<PeerBody.SuspectReport> some : Lists.partition(known, REPORTS_PER_MESSAGE)) {
+    List<PeerBody.SuspectReport> found =
+        keys.stream()
+            .limit(MAXIMUM_REPORTS_PER_SEND)
+            .map(reports)
+            .flatMap(Optional::stream)
+            .toList();
+    for (List<PeerBody.SuspectReport> some : Lists.partition(found, REPORTS_PER_MESSAGE)) {
       peers.send(address, new PeerBody.SuspectNotice(some));
     }
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRecord.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRecord.java
@@ -16,24 +16,24 @@
    * For how long crashes under a request are ignored after an answer to it. Crashes that another
    * request caused while this one was in flight may be reported late.
    */
-  private static final Duration CLEARANCE_LENGTH = Duration.ofSeconds(30);
+  private static final Duration CLEARANCE_PERIOD = Duration.ofSeconds(30);
 
   /** Canaries with neither an answer nor a crash after which the request is quarantined. */
-  private static final int MOST_CANARIES_WITHOUT_RESULT = 3;
+  private static final int MAXIMUM_INCONCLUSIVE_CANARIES = 3;
 
   /** A reported quarantine that began within this time after the known one is the same one. */
-  private static final long SAME_MOMENT_NANOS = Duration.ofSeconds(1).toNanos();
+  private static final long SAME_QUARANTINE_NANOS = Duration.ofSeconds(1).toNanos();
 
   private static final long NEVER = Long.MIN_VALUE;
 
   private final SuspectRules rules;
-  private final Set<String> ended = new LinkedHashSet<>();
-  private long newestEndNanos = NEVER;
+  private final Set<String> crashedServers = new LinkedHashSet<>();
+  private long newestCrashNanos = NEVER;
   private long quarantinedNanos = NEVER;
   private long clearedNanos = NEVER;
   private long lastSeenNanos;
-  private int canariesWithoutResult;
-  private boolean canaryRuns;
+  private int inconclusiveCanaries;
+  private boolean canaryRunning;
 
   SuspectRecord(SuspectRules rules, long nowNanos) {
     this.rules = rules;
@@ -41,16 +41,17 @@
   }
 
   Standing standing(long nowNanos) {
-    if (quarantinedNanos != NEVER && nowNanos - quarantinedNanos < rules.hold().toNanos()) {
+    if (quarantinedNanos != NEVER
+        && nowNanos - quarantinedNanos < rules.quarantinePeriod().toNanos()) {
       return Standing.QUARANTINED;
     }
-    return quarantinedNanos != NEVER || ended.size() >= rules.endsToSuspect()
+    return quarantinedNanos != NEVER || crashedServers.size() >= rules.crashesToSuspect()
         ? Standing.SUSPECTED
         : Standing.FREE;
   }
 
-  int ends() {
-    return ended.size();
+  int crashCount() {
+    return crashedServers.size();
   }
 
   long lastSeenNanos() {
@@ -62,16 +63,17 @@
   }
 
   boolean hasCanary() {
-    return canaryRuns;
+    return canaryRunning;
   }
 
   /** Whether any router may run a canary, not only the responsible one. */
-  boolean isCanaryTime(long nowNanos) {
-    return quarantinedNanos == NEVER && nowNanos - newestEndNanos < rules.canaryTime().toNanos();
+  boolean anyRouterMayRunCanary(long nowNanos) {
+    return quarantinedNanos == NEVER
+        && nowNanos - newestCrashNanos < rules.canaryPeriod().toNanos();
   }
 
   void onCanaryStarted() {
-    canaryRuns = true;
+    canaryRunning = true;
   }
 
   /**
@@ -81,12 +83,12 @@
    * @param mayHaveRun whether the canary may have reached a server
    */
   void onCanaryEnded(boolean mayHaveRun, long nowNanos) {
-    if (!canaryRuns) {
+    if (!canaryRunning) {
       return;
     }
-    canaryRuns = false;
-    canariesWithoutResult += mayHaveRun ? 1 : 0;
-    if (canariesWithoutResult >= MOST_CANARIES_WITHOUT_RESULT) {
+    canaryRunning = false;
+    inconclusiveCanaries += mayHaveRun ? 1 : 0;
+    if (inconclusiveCanaries >= MAXIMUM_INCONCLUSIVE_CANARIES) {
       quarantine(nowNanos);
     }
   }
@@ -97,31 +99,31 @@
    * @param byCanary whether the server ran the canary
    * @return whether the record changed
    */
-  boolean onServerEnded(String server, boolean byCanary, long endNanos) {
-    lastSeenNanos = Math.max(lastSeenNanos, endNanos);
-    if (isCleared(endNanos)) {
+  boolean onServerCrashed(String server, boolean byCanary, long crashNanos) {
+    lastSeenNanos = Math.max(lastSeenNanos, crashNanos);
+    if (isCleared(crashNanos)) {
       return false;
     }
     if (byCanary) {
-      canaryRuns = false;
-      ended.add(server);
-      quarantine(endNanos);
+      canaryRunning = false;
+      crashedServers.add(server);
+      quarantine(crashNanos);
       return true;
     }
-    return ended.size() < rules.endsToSuspect() && add(server, endNanos);
+    return crashedServers.size() < rules.crashesToSuspect() && add(server, crashNanos);
   }
 
-  private boolean add(String server, long endNanos) {
-    boolean added = ended.add(server);
+  private boolean add(String server, long crashNanos) {
+    boolean added = crashedServers.add(server);
     if (added) {
-      newestEndNanos = Math.max(newestEndNanos, endNanos);
+      newestCrashNanos = Math.max(newestCrashNanos, crashNanos);
     }
     return added;
   }
 
   private void quarantine(long nanos) {
     quarantinedNanos = nanos;
-    canariesWithoutResult = 0;
+    inconclusiveCanaries = 0;
   }
 
   /**
@@ -133,18 +135,18 @@
     if (nanos <= clearedNanos) {
       return false;
     }
-    boolean news = !ended.isEmpty() || quarantinedNanos != NEVER;
+    boolean changed = !crashedServers.isEmpty() || quarantinedNanos != NEVER;
     clearedNanos = nanos;
-    ended.clear();
-    newestEndNanos = NEVER;
+    crashedServers.clear();
+    newestCrashNanos = NEVER;
     quarantinedNanos = NEVER;
-    canariesWithoutResult = 0;
-    canaryRuns = false;
-    return news;
+    inconclusiveCanaries = 0;
+    canaryRunning = false;
+    return changed;
   }
 
   private boolean isCleared(long nanos) {
-    return clearedNanos != NEVER && nanos - clearedNanos < CLEARANCE_LENGTH.toNanos();
+    return clearedNanos != NEVER && nanos - clearedNanos < CLEARANCE_PERIOD.toNanos();
   }
 
   /**
@@ -162,22 +164,22 @@
     };
   }
 
-  private boolean addAll(List<String> servers, long endNanos) {
-    boolean news = false;
+  private boolean addAll(List<String> servers, long crashNanos) {
+    boolean changed = false;
     for (String server : servers) {
-      if (ended.size() < rules.endsToSuspect()) {
-        news |= add(server, endNanos);
+      if (crashedServers.size() < rules.crashesToSuspect()) {
+        changed |= add(server, crashNanos);
       }
     }
-    return news;
+    return changed;
   }
 
   private boolean mergeQuarantine(List<String> servers, long asOfNanos) {
     boolean unused = addAll(servers, asOfNanos);
-    if (quarantinedNanos != NEVER && asOfNanos - quarantinedNanos < SAME_MOMENT_NANOS) {
+    if (quarantinedNanos != NEVER && asOfNanos - quarantinedNanos < SAME_QUARANTINE_NANOS) {
       return false;
     }
-    canaryRuns = false;
+    canaryRunning = false;
     quarantine(asOfNanos);
     return true;
   }
@@ -187,22 +189,22 @@
     ReportKind kind =
         quarantinedNanos != NEVER
             ? ReportKind.QUARANTINE
-            : ended.isEmpty() ? ReportKind.CLEARANCE : ReportKind.ENDS;
+            : crashedServers.isEmpty() ? ReportKind.CLEARANCE : ReportKind.ENDS;
     long asOfNanos =
         switch (kind) {
           case QUARANTINE -> quarantinedNanos;
           case CLEARANCE -> clearedNanos;
-          case ENDS -> newestEndNanos;
+          case ENDS -> newestCrashNanos;
         };
     long age = Duration.ofNanos(Math.max(0, nowNanos - asOfNanos)).toMillis();
     return new PeerBody.SuspectReport(
-        key.text(), kind.wireName(), ImmutableList.copyOf(ended), age);
+        key.text(), kind.wireName(), ImmutableList.copyOf(crashedServers), age);
   }
 
   /** Whether the record can be removed. */
-  boolean isOver(long nowNanos) {
+  boolean isExpired(long nowNanos) {
     boolean free = standing(nowNanos) == Standing.FREE;
-    Duration kept = free ? CLEARANCE_LENGTH : rules.memory();
+    Duration kept = free ? CLEARANCE_PERIOD : rules.retentionPeriod();
     return nowNanos - lastSeenNanos > kept.toNanos();
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRequests.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRequests.java
@@ -28,7 +28,7 @@
  * </ul>
  */
 public final class SuspectRequests {
-  private static final Duration FORGET_INTERVAL = Duration.ofSeconds(10);
+  private static final Duration EVICTION_INTERVAL = Duration.ofSeconds(10);
 
   private final String ownId;
   private final SuspectRules rules;
@@ -36,7 +36,7 @@
   private final RouterClock clock;
   private final TimerQueue timers;
   private final EventLog events;
-  private final SuspectNews news;
+  private final SuspectGossip gossip;
   private final Map<RequestKey, SuspectRecord> records = new LinkedHashMap<>();
   private long refused;
 
@@ -65,8 +65,9 @@
     this.clock = clock;
     this.timers = timers;
     this.events = events;
-    this.news =
-        new SuspectNews(peers, responsible, clock, timers, random, this::report, this::known);
+    this.gossip =
+        new SuspectGossip(
+            peers, responsible, clock, timers, random, this::report, this::suspectedKeys);
   }
 
   /**
@@ -74,7 +75,7 @@
    * peers may have just started too.
    */
   public void start() {
-    news.start();
+    gossip.start();
   }
 
   /** Whether no crash is recorded for any request. Then requests need no key. */
@@ -116,7 +117,7 @@
    * that have not heard of each other's canaries would send the request to several servers.
    */
   private boolean mayRunCanary(RequestKey key, SuspectRecord known, long nowNanos) {
-    return !known.hasCanary() && (known.isCanaryTime(nowNanos) || responsible.isSelf(key));
+    return !known.hasCanary() && (known.anyRouterMayRunCanary(nowNanos) || responsible.isSelf(key));
   }
 
   /** Returns whether a request may be sent to servers. */
@@ -130,12 +131,12 @@
    *
    * @param byCanary whether the server ran the request's canary
    */
-  public void onServerEnded(RequestKey key, String server, boolean byCanary) {
+  public void onServerCrashed(RequestKey key, String server, boolean byCanary) {
     long nowNanos = clock.nanoTime();
     SuspectRecord known = recordOf(key, nowNanos);
     Standing before = known.standing(nowNanos);
-    if (known.onServerEnded(server, byCanary, nowNanos)) {
-      onNews(key, known, before, ownId, nowNanos);
+    if (known.onServerCrashed(server, byCanary, nowNanos)) {
+      onChanged(key, known, before, ownId, nowNanos);
     }
   }
 
@@ -148,7 +149,7 @@
     long nowNanos = clock.nanoTime();
     Standing before = known.standing(nowNanos);
     if (known.onAnswered(nowNanos)) {
-      onNews(key, known, before, ownId, nowNanos);
+      onChanged(key, known, before, ownId, nowNanos);
     }
   }
 
@@ -166,7 +167,7 @@
     Standing before = known.standing(nowNanos);
     known.onCanaryEnded(mayHaveRun, nowNanos);
     if (known.standing(nowNanos) != before) {
-      onNews(key, known, before, ownId, nowNanos);
+      onChanged(key, known, before, ownId, nowNanos);
     }
   }
 
@@ -174,13 +175,13 @@
   public void onMessage(PeerMessage message) {
     PeerBody body = message.body();
     if (body instanceof PeerBody.SuspectNotice notice) {
-      notice.reports().forEach(report -> take(report, message.sender().id()));
+      notice.reports().forEach(report -> onReport(report, message.sender().id()));
     } else if (body instanceof PeerBody.SuspectQuestion) {
-      news.answer(message.sender().address());
+      gossip.answer(message.sender().address());
     }
   }
 
-  private void take(PeerBody.SuspectReport report, String by) {
+  private void onReport(PeerBody.SuspectReport report, String by) {
     Optional<ReportKind> kind = ReportKind.ofWireName(report.kind());
     if (kind.isEmpty()) {
       return;
@@ -191,16 +192,16 @@
     Standing before = known.standing(nowNanos);
     long asOfNanos = nowNanos - Duration.ofMillis(report.ageMillis()).toNanos();
     if (known.merge(kind.get(), report.servers(), asOfNanos)) {
-      onNews(key, known, before, by, nowNanos);
+      onChanged(key, known, before, by, nowNanos);
     }
   }
 
   private SuspectRecord recordOf(RequestKey key, long nowNanos) {
     SuspectRecord known = records.get(key);
     if (known == null) {
-      forgetWhatIsOver(nowNanos);
+      evictExpired(nowNanos);
       if (records.isEmpty()) {
-        forgetLater();
+        scheduleEviction();
       }
       known = new SuspectRecord(rules, nowNanos);
       records.put(key, known);
@@ -209,25 +210,25 @@
   }
 
   /** Requests need no key once the last record is gone, so expired ones are removed by a timer. */
-  private void forgetLater() {
+  private void scheduleEviction() {
     timers.schedule(
-        clock.nanoTime() + FORGET_INTERVAL.toNanos(),
+        clock.nanoTime() + EVICTION_INTERVAL.toNanos(),
         () -> {
-          forgetWhatIsOver(clock.nanoTime());
+          evictExpired(clock.nanoTime());
           if (!records.isEmpty()) {
-            forgetLater();
+            scheduleEviction();
           }
         });
   }
 
-  private void forgetWhatIsOver(long nowNanos) {
-    records.values().removeIf(known -> known.isOver(nowNanos));
-    while (records.size() >= rules.mostRequests()) {
-      records.remove(seenLongestAgo());
+  private void evictExpired(long nowNanos) {
+    records.values().removeIf(known -> known.isExpired(nowNanos));
+    while (records.size() >= rules.maximumRequests()) {
+      records.remove(leastRecentlySeen());
     }
   }
 
-  private RequestKey seenLongestAgo() {
+  private RequestKey leastRecentlySeen() {
     Iterator<Map.Entry<RequestKey, SuspectRecord>> entries = records.entrySet().iterator();
     Map.Entry<RequestKey, SuspectRecord> oldest = entries.next();
     while (entries.hasNext()) {
@@ -239,16 +240,17 @@
     return oldest.getKey();
   }
 
-  private void onNews(
+  private void onChanged(
       RequestKey key, SuspectRecord known, Standing before, String by, long nowNanos) {
     Standing now = known.standing(nowNanos);
     if (now != before) {
-      events.log(new RouterEvent.SuspectChanged(key.logName(), now.logName(), known.ends(), by));
+      events.log(
+          new RouterEvent.SuspectChanged(key.logName(), now.logName(), known.crashCount(), by));
     }
     if (now != Standing.FREE || before != Standing.FREE) {
-      news.tellAll(key);
+      gossip.gossipLater(key);
     } else if (by.equals(ownId)) {
-      news.tellResponsible(key);
+      gossip.reportFirstCrashLater(key);
     }
   }
 
@@ -257,7 +259,7 @@
   }
 
   /** Returns the requests that are suspected or quarantined. */
-  private ImmutableList<RequestKey> known() {
+  private ImmutableList<RequestKey> suspectedKeys() {
     long nowNanos = clock.nanoTime();
     return records.entrySet().stream()
         .filter(entry -> entry.getValue().standing(nowNanos) != Standing.FREE)
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRules.java
@@ -5,18 +5,23 @@
 /**
  * When a request is suspected and quarantined, and how long that is remembered.
  *
- * @param endsToSuspect number of servers that must crash while running a request before it is
+ * @param crashesToSuspect number of servers that must crash while running a request before it is
  *     suspected
- * @param canaryTime how long after the last of these crashes any router may run a canary; later
+ * @param canaryPeriod how long after the last of these crashes any router may run a canary; later
  *     only the responsible one may. Must end well before the time by which all routers must refuse
  *     a crashing request
- * @param hold how long a request is quarantined after it crashed the server of its canary
- * @param memory how long a request that is not free is remembered after it was last seen
- * @param mostRequests maximum number of remembered requests; the one seen longest ago is evicted
+ * @param quarantinePeriod how long a request is quarantined after it crashed the server of its
+ *     canary
+ * @param retentionPeriod how long a request that is not free is remembered after it was last seen
+ * @param maximumRequests maximum number of remembered requests; the one seen longest ago is evicted
  *     first
  */
 public record SuspectRules(
-    int endsToSuspect, Duration canaryTime, Duration hold, Duration memory, int mostRequests) {
+    int crashesToSuspect,
+    Duration canaryPeriod,
+    Duration quarantinePeriod,
+    Duration retentionPeriod,
+    int maximumRequests) {
   /**
    * A request is suspected after three crashes. Servers restart within two seconds, so the canary
    * time of 2.5 s lets any router clear a harmless request once they are back. All routers must
@@ -31,8 +36,8 @@
   public static final SuspectRules NONE =
       new SuspectRules(
           Integer.MAX_VALUE,
-          DEFAULT.canaryTime,
-          DEFAULT.hold,
-          DEFAULT.memory,
-          DEFAULT.mostRequests);
+          DEFAULT.canaryPeriod,
+          DEFAULT.quarantinePeriod,
+          DEFAULT.retentionPeriod,
+          DEFAULT.maximumRequests);
 }
