--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
@@ -211,7 +211,7 @@
 
   /** Whether requests with API keys are refused because this router's view is too old. */
   public boolean refusesApiKeys() {
-    return tenants.isClosed();
+    return tenants.refusesApiKeys();
   }
 
   /** Called when the configuration and the servers are known: submits the held requests. */
@@ -325,7 +325,7 @@
 
     private void end(Tenant tenant, Either<QueryError, ForwardedAnswer> outcome) {
       if (outcome.isLeft() && outcome.getLeft().executed() == Executed.NO) {
-        tenants.giveBack(tenant);
+        tenants.refund(tenant);
       }
       sink.accept(outcome);
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/TenantAdmission.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/TenantAdmission.java
@@ -66,8 +66,8 @@
   }
 
   /** Whether requests with API keys are refused because this router's view is too old. */
-  boolean isClosed() {
-    return authenticator.isClosed(tenants.get());
+  boolean refusesApiKeys() {
+    return authenticator.refusesApiKeys(tenants.get());
   }
 
   /**
@@ -128,14 +128,14 @@
    * Returns the unit of the limit that an admitted request took; it was not executed and will not
    * be.
    */
-  void giveBack(Tenant tenant) {
-    limiter.giveBack(tenant);
+  void refund(Tenant tenant) {
+    limiter.refund(tenant);
   }
 
   private ForwardHandle acquire(
       ForwardedRequest request, Route route, Tenant tenant, Handler handler) {
     Acquisition acquisition = new Acquisition(request, route, tenant, handler);
-    acquisition.asked = limiter.acquire(tenant, acquisition::onDecision);
+    acquisition.decision = limiter.acquire(tenant, acquisition::onDecision);
     return acquisition;
   }
 
@@ -147,7 +147,7 @@
   }
 
   private void logViewChange() {
-    boolean nowClosed = isClosed();
+    boolean nowClosed = refusesApiKeys();
     if (nowClosed != closed) {
       closed = nowClosed;
       double age = viewAge.get().map(Duration::toNanos).map(n -> n / NANOS_PER_MILLI).orElse(-1.0);
@@ -161,7 +161,7 @@
     private final Route route;
     private final Tenant tenant;
     private final Handler handler;
-    private TenantLimiter.Asked asked = () -> {};
+    private TenantLimiter.PendingDecision decision = () -> {};
     private ForwardHandle running = ForwardHandle.NONE;
 
     Acquisition(ForwardedRequest request, Route route, Tenant tenant, Handler handler) {
@@ -187,7 +187,7 @@
 
     @Override
     public void cancel() {
-      asked.cancel();
+      decision.cancel();
       running.cancel();
     }
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/Authenticator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/Authenticator.java
@@ -86,7 +86,7 @@
   }
 
   /** Whether requests with API keys are refused because the view is too old. */
-  public boolean isClosed(Tenants tenants) {
+  public boolean refusesApiKeys(Tenants tenants) {
     return !tenants.isEmpty() && !mayTrustKeys();
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/CountingRouters.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/CountingRouters.java
@@ -21,13 +21,13 @@
  */
 final class CountingRouters {
   /** A router that did not answer is not asked again for this long. */
-  private static final Duration AVOIDANCE = Duration.ofSeconds(2);
+  private static final Duration AVOIDANCE_PERIOD = Duration.ofSeconds(2);
 
   /**
    * For how long the largest known fleet size is remembered. Routers that disappear within this
    * time may be on the other side of a network split.
    */
-  private static final Duration SIZE_MEMORY = Duration.ofSeconds(60);
+  private static final Duration FLEET_SIZE_RETENTION = Duration.ofSeconds(60);
 
   /** Routers that are tried for a tenant; if none answers, this router counts. */
   private static final int CANDIDATES = 3;
@@ -45,10 +45,10 @@
   private final PeerGroup peers;
   private final RouterClock clock;
   private final Map<String, Long> failedNanos = new HashMap<>();
-  private final Map<String, ImmutableList<Candidate>> byTenant = new HashMap<>();
+  private final Map<String, ImmutableList<Candidate>> candidatesByTenant = new HashMap<>();
   private ImmutableList<NearbyRouter> rankedFrom = ImmutableList.of();
-  private int most;
-  private long mostNanos;
+  private int largestFleet;
+  private long largestFleetNanos;
 
   /**
    * A router that may count a tenant.
@@ -61,13 +61,13 @@
     this.ownId = ownId;
     this.peers = peers;
     this.clock = clock;
-    this.mostNanos = clock.nanoTime();
+    this.largestFleetNanos = clock.nanoTime();
   }
 
   /** Returns the router that counts a tenant now; this one if no candidate answers. */
-  Candidate of(String tenant) {
-    forgetRankingOfOthers();
-    for (Candidate candidate : byTenant.computeIfAbsent(tenant, this::rank)) {
+  Candidate routerFor(String tenant) {
+    clearOutdatedRankings();
+    for (Candidate candidate : candidatesByTenant.computeIfAbsent(tenant, this::rank)) {
       if (candidate.address().isEmpty() || !isAvoided(candidate.id())) {
         return candidate;
       }
@@ -81,8 +81,8 @@
    * still counts for the rest of the fleet.
    */
   double shareFor(String tenant) {
-    forgetRankingOfOthers();
-    Candidate first = byTenant.computeIfAbsent(tenant, this::rank).get(0);
+    clearOutdatedRankings();
+    Candidate first = candidatesByTenant.computeIfAbsent(tenant, this::rank).get(0);
     return first.address().isEmpty() ? share() : Math.min(share(), SUBSTITUTE_SHARE);
   }
 
@@ -98,18 +98,18 @@
   private double share() {
     long nowNanos = clock.nanoTime();
     int reachable = 1 + peers.nearby().size();
-    boolean forgotten = nowNanos - mostNanos > SIZE_MEMORY.toNanos();
-    if (reachable >= most || forgotten) {
-      most = reachable;
-      mostNanos = nowNanos;
+    boolean forgotten = nowNanos - largestFleetNanos > FLEET_SIZE_RETENTION.toNanos();
+    if (reachable >= largestFleet || forgotten) {
+      largestFleet = reachable;
+      largestFleetNanos = nowNanos;
     }
-    return (double) reachable / most;
+    return (double) reachable / largestFleet;
   }
 
   /** Returns the part of the fleet that this router is by itself, from 0 to 1. */
   double ownShare() {
     double unused = share();
-    return 1.0 / most;
+    return 1.0 / largestFleet;
   }
 
   private Candidate self() {
@@ -118,11 +118,11 @@
 
   /** Compares lists by identity: comparing their members would cost as much as ranking again. */
   @SuppressWarnings("ReferenceEquality")
-  private void forgetRankingOfOthers() {
+  private void clearOutdatedRankings() {
     ImmutableList<NearbyRouter> nearby = peers.nearby();
     if (nearby != rankedFrom) {
       rankedFrom = nearby;
-      byTenant.clear();
+      candidatesByTenant.clear();
     }
   }
 
@@ -138,7 +138,7 @@
 
   private boolean isAvoided(String id) {
     Long failed = failedNanos.get(id);
-    return failed != null && clock.nanoTime() - failed < AVOIDANCE.toNanos();
+    return failed != null && clock.nanoTime() - failed < AVOIDANCE_PERIOD.toNanos();
   }
 
   private static long weight(String tenant, String router) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/OwnParts.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/FallbackLimiter.java
@@ -9,13 +9,13 @@
  * this router's part of what the limit allows within a window, but at least one request. The slack
  * of the limit rules covers these single requests.
  */
-final class OwnParts {
+final class FallbackLimiter {
   private static final double ONE = 1;
 
   private final LimitRules rules;
   private final Map<String, TokenBucket> buckets = new HashMap<>();
 
-  OwnParts(LimitRules rules) {
+  FallbackLimiter(LimitRules rules) {
     this.rules = rules;
   }
 
@@ -25,7 +25,7 @@
    * @param share the part of the fleet that this router is, from 0 to 1
    * @return 0 if the request may run, else the nanoseconds until one may
    */
-  long refusedNanos(String tenant, TenantLimit limit, double share, long nowNanos) {
+  long tryAcquire(String tenant, TenantLimit limit, double share, long nowNanos) {
     double capacity = Math.max(ONE, share * limit.within(rules.windowSeconds()));
     double rate = capacity / rules.windowSeconds();
     TokenBucket bucket =
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/RevocationRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/RevocationRules.java
@@ -16,7 +16,7 @@
    * Covers the drift between the clocks of two machines during the bound, and the rounding of times
    * in messages.
    */
-  private static final Duration MARGIN = Duration.ofMillis(150);
+  private static final Duration CLOCK_MARGIN = Duration.ofMillis(150);
 
   public RevocationRules {
     requireNonNull(bound, "bound is null");
@@ -24,6 +24,6 @@
 
   /** Whether callers may be identified by a view of this age. */
   boolean isFresh(Duration viewAge) {
-    return viewAge.compareTo(bound.minus(MARGIN)) < 0;
+    return viewAge.compareTo(bound.minus(CLOCK_MARGIN)) < 0;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCount.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCount.java
@@ -13,16 +13,16 @@
    * Fraction of the tolerance for requests that are reported late. The rest is reserved for a
    * change of the counting router.
    */
-  private static final double LATENESS_FRACTION = 0.5;
+  private static final double LATE_REPORT_FRACTION = 0.5;
 
   /**
    * Fraction of the tolerance that a router grants when it starts to count, in addition to what an
    * earlier counting router granted.
    */
-  private static final double FRESH_FRACTION = 0.4;
+  private static final double INITIAL_FRACTION = 0.4;
 
   private static final double NANOS_PER_SECOND = 1e9;
-  private static final double SECOND = 1;
+  private static final double ONE_SECOND = 1;
 
   /** A request is within the limit while at least this many tokens are left. */
   private static final double ONE = 1;
@@ -33,8 +33,8 @@
   private final Map<String, Reported> routers = new HashMap<>();
   private TenantLimit limit;
   private double share;
-  private long promisedNanos;
-  private boolean near;
+  private long lastRetryNanos;
+  private boolean nearLimit;
 
   /** The newest report from one incarnation of a router. */
   private record Reported(long incarnation, long number, long total) {}
@@ -48,10 +48,10 @@
     this.rules = rules;
     this.limit = limit;
     this.share = share;
-    double fresh = Math.min(capacity(), Math.max(ONE, FRESH_FRACTION * tolerance()));
-    this.allowed = new TokenBucket(rate(), capacity(), fresh, nowNanos);
+    double initialTokens = Math.min(capacity(), Math.max(ONE, INITIAL_FRACTION * tolerance()));
+    this.allowed = new TokenBucket(rate(), capacity(), initialTokens, nowNanos);
     this.tolerated = new TokenBucket(toleratedRate(), tolerance(), tolerance(), nowNanos);
-    this.promisedNanos = nowNanos;
+    this.lastRetryNanos = nowNanos;
   }
 
   /** Changes the limit and the share; tokens beyond the new capacity are dropped. */
@@ -87,8 +87,8 @@
       return;
     }
     routers.put(router, new Reported(incarnation, number, total));
-    long news = same ? total - known.total() : unacknowledged;
-    charge((double) news, nowNanos);
+    long newlyReported = same ? total - known.total() : unacknowledged;
+    charge((double) newlyReported, nowNanos);
   }
 
   /** Grants one more request of a router if the limit allows it. */
@@ -114,11 +114,11 @@
    * further request of the limit, so that they do not all retry at once. The delay is at most one
    * window.
    */
-  long promiseNanos(long nowNanos) {
+  long reserveRetryDelayNanos(long nowNanos) {
     long first = nowNanos + refusedNanos(nowNanos);
-    long next = promisedNanos + (long) (NANOS_PER_SECOND / rate());
-    promisedNanos = Math.min(Math.max(first, next), nowNanos + rules.window().toNanos());
-    return promisedNanos - nowNanos;
+    long next = lastRetryNanos + (long) (NANOS_PER_SECOND / rate());
+    lastRetryNanos = Math.min(Math.max(first, next), nowNanos + rules.window().toNanos());
+    return lastRetryNanos - nowNanos;
   }
 
   /**
@@ -128,15 +128,15 @@
   boolean isNearLimit(long nowNanos) {
     double left = allowed.tokens(nowNanos);
     if (left < ONE) {
-      near = true;
+      nearLimit = true;
     } else if (left >= Math.max(ONE, capacity() / 2)) {
-      near = false;
+      nearLimit = false;
     }
-    return near;
+    return nearLimit;
   }
 
   /** Returns the tokens that are left of the limit, for log lines. */
-  double left(long nowNanos) {
+  double remaining(long nowNanos) {
     return allowed.tokens(nowNanos);
   }
 
@@ -170,12 +170,12 @@
 
   /** The scaled burst and the requests of one second, but at least one request. */
   private double capacity() {
-    return Math.max(ONE, scale() * (limit.burst() + SECOND * limit.ratePerSecond()));
+    return Math.max(ONE, scale() * (limit.burst() + ONE_SECOND * limit.ratePerSecond()));
   }
 
   private double tolerance() {
-    double beyond = rules.tolerance(limit) - SECOND * limit.ratePerSecond();
-    return Math.max(0, LATENESS_FRACTION * share * beyond);
+    double beyond = rules.tolerance(limit) - ONE_SECOND * limit.ratePerSecond();
+    return Math.max(0, LATE_REPORT_FRACTION * share * beyond);
   }
 
   private double toleratedRate() {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCounter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCounter.java
@@ -24,7 +24,7 @@
   static final Duration LEASE = Duration.ofSeconds(2);
 
   /** While the tenant is near its limit, the lease is renewed this often within its duration. */
-  private static final int RENEWALS = 2;
+  private static final int RENEWALS_PER_LEASE = 2;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -37,7 +37,7 @@
   private final RouterClock clock;
   private final EventLog events;
   private final Map<String, TenantCount> counts = new HashMap<>();
-  private final Map<String, Long> toldNanos = new HashMap<>();
+  private final Map<String, Long> announcedNanos = new HashMap<>();
 
   /** A decision on one request; the durations are those of a verdict. */
   private record Decision(boolean granted, long retryAfterNanos, long refusedNanos) {
@@ -86,7 +86,7 @@
     }
     Decision decision = decide(router, message.asks(), nowNanos);
     for (PeerBody.Use use : message.uses()) {
-      limitOf(use.tenant(), nowNanos).ifPresent(near::add);
+      announceIfNearLimit(use.tenant(), nowNanos).ifPresent(near::add);
     }
     return new PeerBody.TenantVerdict(
         message.number(),
@@ -99,7 +99,7 @@
   /** Removes the counts of tenants that have no limit any more. */
   void forgetUnlimited() {
     counts.keySet().removeIf(tenant -> limits.apply(tenant).isEmpty());
-    toldNanos.keySet().retainAll(counts.keySet());
+    announcedNanos.keySet().retainAll(counts.keySet());
   }
 
   /**
@@ -112,7 +112,8 @@
       return Decision.GRANTED;
     }
     TenantCount count = asked.get();
-    return new Decision(false, count.promiseNanos(nowNanos), count.refusedNanos(nowNanos));
+    return new Decision(
+        false, count.reserveRetryDelayNanos(nowNanos), count.refusedNanos(nowNanos));
   }
 
   private Optional<TenantCount> countOf(String tenant, long nowNanos) {
@@ -128,28 +129,29 @@
     return Optional.of(count);
   }
 
-  private Optional<PeerBody.Limited> limitOf(String tenant, long nowNanos) {
+  private Optional<PeerBody.Limited> announceIfNearLimit(String tenant, long nowNanos) {
     TenantCount count = counts.get(tenant);
     if (count == null || !count.isNearLimit(nowNanos)) {
-      if (toldNanos.remove(tenant) != null) {
+      if (announcedNanos.remove(tenant) != null) {
         log(tenant, "released", nowNanos);
       }
       return Optional.empty();
     }
     PeerBody.Limited limited = new PeerBody.Limited(tenant, LEASE.toMillis());
-    Long told = toldNanos.get(tenant);
-    if (told == null || nowNanos - told > LEASE.toNanos() / RENEWALS) {
-      if (told == null) {
+    Long announced = announcedNanos.get(tenant);
+    if (announced == null || nowNanos - announced > LEASE.toNanos() / RENEWALS_PER_LEASE) {
+      if (announced == null) {
         log(tenant, "near", nowNanos);
       }
-      toldNanos.put(tenant, nowNanos);
-      tellOthers(limited);
+      announcedNanos.put(tenant, nowNanos);
+      announce(limited);
     }
     return Optional.of(limited);
   }
 
   private void log(String tenant, String state, long nowNanos) {
-    double left = Optional.ofNullable(counts.get(tenant)).map(c -> c.left(nowNanos)).orElse(0.0);
+    double left =
+        Optional.ofNullable(counts.get(tenant)).map(c -> c.remaining(nowNanos)).orElse(0.0);
     events.log(new RouterEvent.TenantChanged(tenant, state, ownId, left));
   }
 
@@ -157,12 +159,12 @@
    * Sends the notice to all routers of the own zone, and to one router of each other zone, which
    * forwards it within its zone.
    */
-  private void tellOthers(PeerBody.Limited limited) {
+  private void announce(PeerBody.Limited limited) {
     ImmutableList<PeerBody.Limited> limits = ImmutableList.of(limited);
-    Set<String> told = new HashSet<>();
+    Set<String> notifiedZones = new HashSet<>();
     for (NearbyRouter router : peers.nearby()) {
       boolean own = router.zone().equals(ownZone);
-      if (own || told.add(router.zone())) {
+      if (own || notifiedZones.add(router.zone())) {
         peers.send(router.address(), new PeerBody.TenantNotice(limits, !own));
       }
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimiter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimiter.java
@@ -47,7 +47,7 @@
   private static final Duration VERDICT_TIMEOUT = Duration.ofMillis(150);
 
   /** Requests of a tenant that may run here before a counting router has acknowledged them. */
-  private static final int MOST_UNACKNOWLEDGED = 3;
+  private static final int MAXIMUM_UNACKNOWLEDGED = 3;
 
   /** Counting routers that are asked for one request before this router decides by itself. */
   private static final int ROUTERS_TO_ASK = 2;
@@ -55,7 +55,7 @@
   /** The retry delay is lengthened by a random part up to this, so that retries spread out. */
   private static final double RETRY_SPREAD = 0.25;
 
-  private static final Duration SHORTEST_RETRY_AFTER = Duration.ofMillis(50);
+  private static final Duration MINIMUM_RETRY_AFTER = Duration.ofMillis(50);
 
   /**
    * Message numbers start at a random value below this, so that a verdict on a message of an
@@ -80,30 +80,30 @@
   private final CountingRouters routers;
   private final TenantCounter counter;
   private final Map<String, TenantUsage> usages = new HashMap<>();
-  private final OwnParts ownParts;
-  private final Set<String> untold = new LinkedHashSet<>();
+  private final FallbackLimiter fallbackLimiter;
+  private final Set<String> unreported = new LinkedHashSet<>();
   private final Map<Long, Message> unanswered = new HashMap<>();
   private boolean reportScheduled;
   private long nextNumber;
   private long refused;
 
   /** A request that may be waiting for a verdict. */
-  public interface Asked {
+  public interface PendingDecision {
     /** Drops the verdict, because the caller has gone. */
     void cancel();
   }
 
-  private static final Asked NOTHING = () -> {};
+  private static final PendingDecision DECIDED = () -> {};
 
   /** A message to a counting router that has not answered it yet. */
   private record Message(
       CountingRouters.Candidate to, ImmutableList<PeerBody.Use> uses, Optional<Question> asks) {}
 
   /** A request that a counting router is asked for. */
-  private static final class Question implements Asked {
+  private static final class Question implements PendingDecision {
     private final Tenant tenant;
     private final Consumer<LimitDecision> sink;
-    private int asked;
+    private int routersAsked;
     private boolean ended;
 
     Question(Tenant tenant, Consumer<LimitDecision> sink) {
@@ -140,7 +140,7 @@
     this.random = random;
     this.events = events;
     this.tenants = tenants;
-    this.ownParts = new OwnParts(rules);
+    this.fallbackLimiter = new FallbackLimiter(rules);
     this.nextNumber = random.nextLong(HIGHEST_FIRST_NUMBER);
     this.routers = new CountingRouters(ownId, peers, clock);
     this.counter =
@@ -155,7 +155,7 @@
   /** Another configuration is in force: removes the state of tenants that have no limit in it. */
   public void onReconfigured() {
     usages.keySet().removeIf(name -> limitOf(name).isEmpty());
-    ownParts.retain(name -> limitOf(name).isPresent());
+    fallbackLimiter.retain(name -> limitOf(name).isPresent());
     counter.forgetUnlimited();
   }
 
@@ -165,20 +165,20 @@
    * @param sink receives the decision once, perhaps before this method returns; not called after a
    *     cancellation
    */
-  public Asked acquire(Tenant tenant, Consumer<LimitDecision> sink) {
+  public PendingDecision acquire(Tenant tenant, Consumer<LimitDecision> sink) {
     if (tenant.limit().isEmpty()) {
       sink.accept(new LimitDecision.Allowed());
-      return NOTHING;
+      return DECIDED;
     }
     long nowNanos = clock.nanoTime();
     TenantUsage usage = usageOf(tenant.name(), nowNanos);
     if (usage.refusedNanos(nowNanos) > 0) {
       refuse(sink, Duration.ofNanos(usage.refusedNanos(nowNanos)), ownId);
-      return NOTHING;
+      return DECIDED;
     }
-    if (!usage.mustAsk(nowNanos) && usage.unacknowledged() < MOST_UNACKNOWLEDGED) {
+    if (!usage.mustAsk(nowNanos) && usage.unacknowledged() < MAXIMUM_UNACKNOWLEDGED) {
       admit(tenant.name(), sink);
-      return NOTHING;
+      return DECIDED;
     }
     Question question = new Question(tenant, sink);
     ask(question);
@@ -186,10 +186,10 @@
   }
 
   /** Refunds a request that was allowed but has not run and will not run. */
-  public void giveBack(Tenant tenant) {
+  public void refund(Tenant tenant) {
     if (tenant.limit().isPresent()) {
-      usageOf(tenant.name(), clock.nanoTime()).onReturned();
-      tellLater(tenant.name());
+      usageOf(tenant.name(), clock.nanoTime()).onRefunded();
+      reportLater(tenant.name());
     }
   }
 
@@ -216,21 +216,21 @@
 
   private void admit(String tenant, Consumer<LimitDecision> sink) {
     usageOf(tenant, clock.nanoTime()).onAdmitted();
-    tellLater(tenant);
+    reportLater(tenant);
     sink.accept(new LimitDecision.Allowed());
   }
 
   private void refuse(Consumer<LimitDecision> sink, Duration retryAfter, String by) {
     refused++;
     double spread = 1 + RETRY_SPREAD * random.nextDouble();
-    long nanos = Math.max(SHORTEST_RETRY_AFTER.toNanos(), retryAfter.toNanos());
+    long nanos = Math.max(MINIMUM_RETRY_AFTER.toNanos(), retryAfter.toNanos());
     sink.accept(new LimitDecision.Refused(Duration.ofNanos((long) (spread * nanos)), by));
   }
 
   private void ask(Question question) {
     String tenant = question.tenant.name();
-    CountingRouters.Candidate to = routers.of(tenant);
-    question.asked++;
+    CountingRouters.Candidate to = routers.routerFor(tenant);
+    question.routersAsked++;
     send(to, ImmutableList.of(useOf(tenant)), Optional.of(question));
   }
 
@@ -239,8 +239,8 @@
     return new PeerBody.Use(tenant, usage.total(), usage.unacknowledged());
   }
 
-  private void tellLater(String tenant) {
-    untold.add(tenant);
+  private void reportLater(String tenant) {
+    unreported.add(tenant);
     if (!reportScheduled) {
       reportScheduled = true;
       timers.schedule(clock.nanoTime() + REPORT_DELAY.toNanos(), this::report);
@@ -250,10 +250,12 @@
   private void report() {
     reportScheduled = false;
     Map<CountingRouters.Candidate, List<PeerBody.Use>> byRouter = new LinkedHashMap<>();
-    for (String tenant : untold) {
-      byRouter.computeIfAbsent(routers.of(tenant), to -> new ArrayList<>()).add(useOf(tenant));
+    for (String tenant : unreported) {
+      byRouter
+          .computeIfAbsent(routers.routerFor(tenant), to -> new ArrayList<>())
+          .add(useOf(tenant));
     }
-    untold.clear();
+    unreported.clear();
     byRouter.forEach((to, uses) -> send(to, ImmutableList.copyOf(uses), Optional.empty()));
   }
 
@@ -261,13 +263,14 @@
       CountingRouters.Candidate to, ImmutableList<PeerBody.Use> uses, Optional<Question> asks) {
     long number = nextNumber++;
     PeerBody.TenantUse message =
-        new PeerBody.TenantUse(number, uses, asks.map(asked -> asked.tenant.name()).orElse(""));
+        new PeerBody.TenantUse(
+            number, uses, asks.map(question -> question.tenant.name()).orElse(""));
     unanswered.put(number, new Message(to, uses, asks));
     if (to.address().isEmpty()) {
       onVerdict(counter.onUse(ownId, OWN_INCARNATION, message), ownId);
       return;
     }
-    timers.schedule(clock.nanoTime() + VERDICT_TIMEOUT.toNanos(), () -> onSilent(number));
+    timers.schedule(clock.nanoTime() + VERDICT_TIMEOUT.toNanos(), () -> onVerdictTimeout(number));
     peers.send(to.address().get(), message);
   }
 
@@ -281,7 +284,7 @@
     for (PeerBody.Use use : message.uses()) {
       usageOf(use.tenant(), nowNanos).onAcknowledged(use.total());
     }
-    takeLimits(verdict.limits());
+    applyLimits(verdict.limits());
     message.asks().ifPresent(question -> onDecided(question, verdict, by));
   }
 
@@ -292,7 +295,7 @@
         admit(question.tenant.name(), question.sink);
       } else {
         // Counted there but not used: the next report, with an unchanged total, corrects it.
-        tellLater(question.tenant.name());
+        reportLater(question.tenant.name());
       }
       return;
     }
@@ -305,30 +308,30 @@
     }
   }
 
-  private void onSilent(long number) {
+  private void onVerdictTimeout(long number) {
     Message message = unanswered.remove(number);
     if (message == null) {
       return;
     }
     routers.onFailed(message.to().id());
     events.log(new RouterEvent.TenantChanged("", "no verdict", message.to().id(), 0));
-    message.uses().forEach(use -> tellLater(use.tenant()));
-    message.asks().filter(question -> !question.ended).ifPresent(this::askOnOrDecideAlone);
+    message.uses().forEach(use -> reportLater(use.tenant()));
+    message.asks().filter(question -> !question.ended).ifPresent(this::askNextOrDecideLocally);
   }
 
-  private void askOnOrDecideAlone(Question question) {
-    if (question.asked < ROUTERS_TO_ASK) {
+  private void askNextOrDecideLocally(Question question) {
+    if (question.routersAsked < ROUTERS_TO_ASK) {
       ask(question);
       return;
     }
     question.ended = true;
-    decideAlone(question);
+    decideLocally(question);
   }
 
-  private void decideAlone(Question question) {
+  private void decideLocally(Question question) {
     Tenant tenant = question.tenant;
     long refusedNanos =
-        ownParts.refusedNanos(
+        fallbackLimiter.tryAcquire(
             tenant.name(), tenant.limit().orElseThrow(), routers.ownShare(), clock.nanoTime());
     if (refusedNanos == 0) {
       admit(tenant.name(), question.sink);
@@ -338,7 +341,7 @@
   }
 
   private void onNotice(PeerBody.TenantNotice notice) {
-    takeLimits(notice.limits());
+    applyLimits(notice.limits());
     if (notice.passOn()) {
       PeerBody.TenantNotice passed = new PeerBody.TenantNotice(notice.limits(), false);
       for (NearbyRouter router : peers.nearby()) {
@@ -349,7 +352,7 @@
     }
   }
 
-  private void takeLimits(List<PeerBody.Limited> limits) {
+  private void applyLimits(List<PeerBody.Limited> limits) {
     long nowNanos = clock.nanoTime();
     for (PeerBody.Limited limited : limits) {
       if (limitOf(limited.tenant()).isPresent()) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantUsage.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantUsage.java
@@ -31,7 +31,7 @@
   }
 
   /** An admitted request has not run and will not run. */
-  void onReturned() {
+  void onRefunded() {
     total--;
   }
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/AuthenticatorTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/AuthenticatorTest.java
@@ -58,9 +58,9 @@
   public void whereWithdrawalsNeedNotBeStrictAnOldViewLetsKnownKeysIn() {
     age = Optional.of(Duration.ofMinutes(5));
     assertThat(identify(lenient, BOTH, Optional.of(KEY))).isEqualTo(known(ONE));
-    assertThat(lenient.isClosed(BOTH)).isFalse();
-    assertThat(strict.isClosed(BOTH)).isTrue();
-    assertThat(strict.isClosed(Tenants.NONE)).isFalse();
+    assertThat(lenient.refusesApiKeys(BOTH)).isFalse();
+    assertThat(strict.refusesApiKeys(BOTH)).isTrue();
+    assertThat(strict.refusesApiKeys(Tenants.NONE)).isFalse();
   }
 
   @Test
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/OwnPartsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/FallbackLimiterTest.java
@@ -7,46 +7,46 @@
 import org.testng.annotations.Test;
 
 /** What a router lets run by itself: one of ten routers, six requests in five seconds in all. */
-public final class OwnPartsTest {
+public final class FallbackLimiterTest {
   private static final String TENANT = "t";
   private static final TenantLimit LIMIT = new TenantLimit(1, 1);
   private static final double SHARE = 0.1;
 
-  private OwnParts parts;
+  private FallbackLimiter parts;
   private long nowNanos;
 
   @BeforeMethod
   public void create() {
-    parts = new OwnParts(new LimitRules(Duration.ofSeconds(5), 0.25, 20));
+    parts = new FallbackLimiter(new LimitRules(Duration.ofSeconds(5), 0.25, 20));
     nowNanos = 0;
   }
 
   @Test
   public void oneRequestOfAWindowIsLetInHoweverSmallThePart() {
-    assertThat(parts.refusedNanos(TENANT, LIMIT, SHARE, nowNanos)).isZero();
-    assertThat(parts.refusedNanos(TENANT, LIMIT, SHARE, nowNanos))
+    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
+    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos))
         .isEqualTo(Duration.ofSeconds(5).toNanos());
     nowNanos = Duration.ofSeconds(5).toNanos();
-    assertThat(parts.refusedNanos(TENANT, LIMIT, SHARE, nowNanos)).isZero();
+    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
   }
 
   /** Load pattern: configurations come three times a second while a router is cut off. */
   @Test
   public void aNewConfigurationIsNoNewPart() {
-    assertThat(parts.refusedNanos(TENANT, LIMIT, SHARE, nowNanos)).isZero();
+    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
     parts.retain(name -> true);
-    assertThat(parts.refusedNanos(TENANT, LIMIT, SHARE, nowNanos)).isPositive();
+    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isPositive();
     parts.retain(name -> false);
-    assertThat(parts.refusedNanos(TENANT, LIMIT, SHARE, nowNanos)).isZero();
+    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
   }
 
   @Test
   public void anotherLimitOrShareCountsFromThen() {
     TenantLimit large = new TenantLimit(20, 20);
     for (int request = 0; request < 12; request++) {
-      assertThat(parts.refusedNanos(TENANT, large, SHARE, nowNanos)).isZero();
+      assertThat(parts.tryAcquire(TENANT, large, SHARE, nowNanos)).isZero();
     }
-    assertThat(parts.refusedNanos(TENANT, large, SHARE, nowNanos)).isPositive();
-    assertThat(parts.refusedNanos(TENANT, LIMIT, SHARE, nowNanos)).isPositive();
+    assertThat(parts.tryAcquire(TENANT, large, SHARE, nowNanos)).isPositive();
+    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isPositive();
   }
 }
