--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/AuthenticatorTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/AuthenticatorTest.java
@@ -10,6 +10,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/**
+ * Callers are identified by their API keys from a view of the tenants that may be out of date: with
+ * an old view a revoked key would still be accepted, or a new key rejected as unknown.
+ */
 public final class AuthenticatorTest {
   private static final Duration BOUND = Duration.ofSeconds(5);
   private static final Duration OLD = Duration.ofMillis(4_900);
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/FallbackLimiterTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/FallbackLimiterTest.java
@@ -6,7 +6,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a router lets run by itself: one of ten routers, six requests in five seconds in all. */
+/**
+ * A router that reaches no counting router must neither grant the whole limit nor refuse every
+ * request of a tenant with a small one. It is one of ten routers; the limit allows six requests
+ * within the window of five seconds.
+ */
 public final class FallbackLimiterTest {
   private static final String TENANT = "t";
   private static final TenantLimit LIMIT = new TenantLimit(1, 1);
@@ -30,7 +34,7 @@
     assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
   }
 
-  /** Load pattern: configurations come three times a second while a router is cut off. */
+  /** Load pattern: three configurations a second arrive while the router is cut off. */
   @Test
   public void aNewConfigurationIsNoNewPart() {
     assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/LimitFleet.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/LimitFleet.java
@@ -19,8 +19,9 @@
 import java.util.Set;
 
 /**
- * Limiters of several routers in virtual time, with messages that take a while or are lost, and
- * routers that die, pause or are cut off. Each knows of a death or a cut only some time later.
+ * Simulates the limiters of several routers in virtual time. Messages are delayed or lost; routers
+ * die, pause or are cut off from each other, which the others notice only after {@link
+ * #NOTICED_AFTER}.
  */
 final class LimitFleet {
   static final String TENANT = "t-1";
@@ -49,7 +50,7 @@
     routers.forEach(Router::learnOfAll);
   }
 
-  /** One router, its queue of timers and what it knows of the others. */
+  /** One router with its timers and its list of the other routers. */
   final class Router implements PeerGroup {
     private final int number;
     private final Set<Integer> unreachable = new HashSet<>();
@@ -208,7 +209,7 @@
     }
   }
 
-  /** The most that ran within any window. */
+  /** Returns the largest number of requests that ran within any window, from a given request on. */
   int mostInAWindow(int from) {
     int most = 0;
     int first = from;
@@ -221,7 +222,7 @@
     return most;
   }
 
-  /** What may run within any window. */
+  /** Returns how many requests may run within any window. */
   static double bound(TenantLimit limit) {
     return limit.within(RULES.windowSeconds()) * (1 + RULES.overshoot()) + RULES.slack();
   }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/TenantLimiterMessagesTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/TenantLimiterMessagesTest.java
@@ -20,7 +20,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** One router whose tenant is counted by another that answers when the test says so. */
+/**
+ * One router whose tenant is counted by another router, which answers only when the test says so.
+ * The limiter must not take a verdict that answers another message, and must decide when no verdict
+ * arrives.
+ */
 public final class TenantLimiterMessagesTest implements PeerGroup {
   private static final String COUNTING = "counting";
   private static final TenantLimit LIMIT = new TenantLimit(1, 1);
@@ -53,7 +57,7 @@
   public void aVerdictOfAnotherRouterLeavesTheQuestionOpen() {
     ask();
     PeerBody.TenantVerdict granted = grant(question().number());
-    limiter.onMessage(from("a-stranger", granted));
+    limiter.onMessage(from("not-asked", granted));
     assertThat(decisions).isEmpty();
     limiter.onMessage(from(COUNTING, granted));
     assertThat(decisions).containsExactly(new LimitDecision.Allowed());
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/TenantLimiterTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/TenantLimiterTest.java
@@ -7,7 +7,11 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Load patterns of tenants, replayed against the limiters of a fleet in virtual time. */
+/**
+ * Runs load patterns of one tenant against the limiters of a fleet in virtual time. Over all
+ * routers a tenant must get what its limit allows and no more than the tolerance beyond it, also
+ * when routers die, pause or cannot reach each other.
+ */
 public final class TenantLimiterTest {
   private static final TenantLimit SMALL = new TenantLimit(1, 1);
   private static final TenantLimit LARGE = new TenantLimit(6, 6);
@@ -21,7 +25,7 @@
     for (TenantLimit limit : List.of(SMALL, LARGE)) {
       LimitFleet fleet = new LimitFleet(77, limit, 0, 1);
       load(fleet, Duration.ofSeconds(60), limit.ratePerSecond() / 1.6);
-      // Arrivals are random: now and then more come than the burst allows.
+      // Arrivals are random: occasionally more requests arrive than the burst allows.
       assertThat((double) fleet.refused).isLessThan(0.02 * fleet.ranNanos.size() + 1);
     }
   }
@@ -33,7 +37,8 @@
     load(fleet, Duration.ofSeconds(7), 28);
 
     assertThat((double) fleet.mostInAWindow(0)).isLessThanOrEqualTo(LimitFleet.bound(LARGE));
-    // Of the seven seconds the limit allows 42; half of that would be refused below it.
+    // The limit allows 42 requests in the last seven seconds. Far fewer would mean that requests
+    // within the limit were refused.
     assertThat(fleet.ranNanos.size()).isGreaterThan(37 + 36);
     load(fleet, Duration.ofSeconds(10), 0);
     int refusedBefore = fleet.refused;
@@ -103,11 +108,11 @@
       struck.wake();
     }
     assertThat((double) fleet.mostInAWindow(0)).isLessThanOrEqualTo(LimitFleet.bound(LARGE));
-    // Six a second for 96 seconds.
+    // The limit allows six requests per second, over 96 seconds.
     assertThat(fleet.ranNanos.size()).isGreaterThan(400);
   }
 
-  /** Random arrivals of one tenant at random routers. */
+  /** Sends requests of one tenant at random times to random routers. */
   private void load(LimitFleet fleet, Duration length, double perSecond) {
     long steps = length.dividedBy(STEP);
     for (long step = 0; step < steps; step++) {
