--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/AuthenticatorTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/AuthenticatorTest.java
@@ -16,7 +16,7 @@
  */
 public final class AuthenticatorTest {
   private static final Duration BOUND = Duration.ofSeconds(5);
-  private static final Duration OLD = Duration.ofMillis(4_900);
+  private static final Duration OLD_AGE = Duration.ofMillis(4_900);
   private static final Credential KEY = Credential.ofKey("key-of-one");
   private static final Credential OTHER = Credential.ofKey("key-of-two");
   private static final Tenant ONE = tenant("one", KEY);
@@ -35,21 +35,21 @@
   }
 
   @Test
-  public void aKnownKeyNamesItsTenant() {
+  public void aKnownKeyIdentifiesItsTenant() {
     assertThat(identify(strict, BOTH, Optional.of(KEY))).isEqualTo(known(ONE));
     assertThat(identify(strict, BOTH, Optional.of(OTHER))).isEqualTo(known(TWO));
   }
 
   @Test
-  public void whoHasNoKeyThatAnybodyHasIsUnknown() {
+  public void aMissingKeyOrOneOfNoTenantIsUnknown() {
     assertThat(identify(strict, BOTH, Optional.empty())).isInstanceOf(Identity.Unknown.class);
     assertThat(identify(strict, BOTH, Optional.of(Credential.ofKey("guess"))))
         .isInstanceOf(Identity.Unknown.class);
   }
 
   @Test
-  public void anOldViewNeitherLetsInNorTurnsAwayForGood() {
-    age = Optional.of(OLD);
+  public void anOldViewNeitherAcceptsNorRejectsKeys() {
+    age = Optional.of(OLD_AGE);
     assertThat(identify(strict, BOTH, Optional.of(KEY))).isInstanceOf(Identity.NotConfirmed.class);
     assertThat(identify(strict, BOTH, Optional.empty())).isInstanceOf(Identity.NotConfirmed.class);
     assertThat(identify(lenient, BOTH, Optional.of(Credential.ofKey("new"))))
@@ -59,7 +59,7 @@
   }
 
   @Test
-  public void whereWithdrawalsNeedNotBeStrictAnOldViewLetsKnownKeysIn() {
+  public void withLenientRevocationAnOldViewAcceptsKnownKeys() {
     age = Optional.of(Duration.ofMinutes(5));
     assertThat(identify(lenient, BOTH, Optional.of(KEY))).isEqualTo(known(ONE));
     assertThat(lenient.refusesApiKeys(BOTH)).isFalse();
@@ -68,19 +68,19 @@
   }
 
   @Test
-  public void publicRoutesNeedNoKeyAndNameATenantOnlyFromAFreshView() {
-    assertThat(strict.identify(BOTH, true, Optional.empty())).isEqualTo(nobody());
+  public void publicRoutesNeedNoKeyAndIdentifyTenantsOnlyFromAFreshView() {
+    assertThat(strict.identify(BOTH, true, Optional.empty())).isEqualTo(noTenant());
     assertThat(strict.identify(BOTH, true, Optional.of(Credential.ofKey("guess"))))
-        .isEqualTo(nobody());
+        .isEqualTo(noTenant());
     assertThat(strict.identify(BOTH, true, Optional.of(KEY))).isEqualTo(known(ONE));
-    age = Optional.of(OLD);
-    assertThat(strict.identify(BOTH, true, Optional.of(KEY))).isEqualTo(nobody());
+    age = Optional.of(OLD_AGE);
+    assertThat(strict.identify(BOTH, true, Optional.of(KEY))).isEqualTo(noTenant());
   }
 
   @Test
   public void withoutTenantsNoKeyIsNeeded() {
     age = Optional.empty();
-    assertThat(identify(strict, Tenants.NONE, Optional.of(KEY))).isEqualTo(nobody());
+    assertThat(identify(strict, Tenants.NONE, Optional.of(KEY))).isEqualTo(noTenant());
   }
 
   @Test
@@ -90,13 +90,13 @@
   }
 
   @Test
-  public void aKeyThatWasTakenAwayOrMovedRunsNothingMore() {
+  public void noAttemptRunsWithAKeyThatWasRevokedOrMoved() {
     assertThat(strict.mayRun(BOTH, "one", KEY)).isTrue();
     assertThat(strict.mayRun(new Tenants(ImmutableList.of(TWO)), "one", KEY)).isFalse();
     assertThat(strict.mayRun(Tenants.NONE, "one", KEY)).isFalse();
     assertThat(strict.mayRun(new Tenants(ImmutableList.of(tenant("new", KEY))), "one", KEY))
         .isFalse();
-    age = Optional.of(OLD);
+    age = Optional.of(OLD_AGE);
     assertThat(strict.mayRun(BOTH, "one", KEY)).isFalse();
     assertThat(lenient.mayRun(BOTH, "one", KEY)).isTrue();
   }
@@ -117,7 +117,7 @@
     return new Identity.Known(Optional.of(tenant));
   }
 
-  private static Identity nobody() {
+  private static Identity noTenant() {
     return new Identity.Known(Optional.empty());
   }
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/FallbackLimiterTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/FallbackLimiterTest.java
@@ -16,41 +16,41 @@
   private static final TenantLimit LIMIT = new TenantLimit(1, 1);
   private static final double SHARE = 0.1;
 
-  private FallbackLimiter parts;
+  private FallbackLimiter limiter;
   private long nowNanos;
 
   @BeforeMethod
   public void create() {
-    parts = new FallbackLimiter(new LimitRules(Duration.ofSeconds(5), 0.25, 20));
+    limiter = new FallbackLimiter(new LimitRules(Duration.ofSeconds(5), 0.25, 20));
     nowNanos = 0;
   }
 
   @Test
-  public void oneRequestOfAWindowIsLetInHoweverSmallThePart() {
-    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
-    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos))
+  public void oneRequestPerWindowIsAllowedHoweverSmallTheShare() {
+    assertThat(limiter.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
+    assertThat(limiter.tryAcquire(TENANT, LIMIT, SHARE, nowNanos))
         .isEqualTo(Duration.ofSeconds(5).toNanos());
     nowNanos = Duration.ofSeconds(5).toNanos();
-    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
+    assertThat(limiter.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
   }
 
   /** Load pattern: three configurations a second arrive while the router is cut off. */
   @Test
-  public void aNewConfigurationIsNoNewPart() {
-    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
-    parts.retain(name -> true);
-    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isPositive();
-    parts.retain(name -> false);
-    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
+  public void aNewConfigurationDoesNotRefillTheShare() {
+    assertThat(limiter.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
+    limiter.retain(name -> true);
+    assertThat(limiter.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isPositive();
+    limiter.retain(name -> false);
+    assertThat(limiter.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isZero();
   }
 
   @Test
-  public void anotherLimitOrShareCountsFromThen() {
+  public void aChangedLimitAppliesAtOnce() {
     TenantLimit large = new TenantLimit(20, 20);
     for (int request = 0; request < 12; request++) {
-      assertThat(parts.tryAcquire(TENANT, large, SHARE, nowNanos)).isZero();
+      assertThat(limiter.tryAcquire(TENANT, large, SHARE, nowNanos)).isZero();
     }
-    assertThat(parts.tryAcquire(TENANT, large, SHARE, nowNanos)).isPositive();
-    assertThat(parts.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isPositive();
+    assertThat(limiter.tryAcquire(TENANT, large, SHARE, nowNanos)).isPositive();
+    assertThat(limiter.tryAcquire(TENANT, LIMIT, SHARE, nowNanos)).isPositive();
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/LimitFleet.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/LimitFleet.java
@@ -21,19 +21,19 @@
 /**
  * Simulates the limiters of several routers in virtual time. Messages are delayed or lost; routers
  * die, pause or are cut off from each other, which the others notice only after {@link
- * #NOTICED_AFTER}.
+ * #FAILURE_DETECTION_DELAY}.
  */
 final class LimitFleet {
   static final String TENANT = "t-1";
   static final LimitRules RULES = new LimitRules(Duration.ofSeconds(5), 0.25, 20);
 
-  private static final Duration NOTICED_AFTER = Duration.ofSeconds(3);
-  private static final Duration LONGEST_DELAY = Duration.ofMillis(8);
+  private static final Duration FAILURE_DETECTION_DELAY = Duration.ofSeconds(3);
+  private static final Duration MAXIMUM_MESSAGE_DELAY = Duration.ofMillis(8);
   private static final int ZONES = 3;
 
   final FakeClock clock = new FakeClock();
   final List<Router> routers = new ArrayList<>();
-  final List<Long> ranNanos = new ArrayList<>();
+  final List<Long> admittedNanos = new ArrayList<>();
   int refused;
   private final TimerQueue network = new TimerQueue();
   private final Random random;
@@ -47,7 +47,7 @@
     for (int number = 0; number < size; number++) {
       routers.add(new Router(number));
     }
-    routers.forEach(Router::learnOfAll);
+    routers.forEach(Router::updateNearby);
   }
 
   /** One router with its timers and its list of the other routers. */
@@ -56,7 +56,7 @@
     private final Set<Integer> unreachable = new HashSet<>();
     private ImmutableList<NearbyRouter> nearby = ImmutableList.of();
     private TimerQueue timers = new TimerQueue();
-    private final List<Runnable> unread = new ArrayList<>();
+    private final List<Runnable> pendingTasks = new ArrayList<>();
     private TenantLimiter limiter;
     private long incarnation = 1;
     boolean dead;
@@ -84,12 +84,12 @@
       if (dead) {
         return;
       }
-      LimitFleet.this.whenAwake(this, () -> limiter.acquire(tenant(), this::onDecision));
+      LimitFleet.this.runUnlessPaused(this, () -> limiter.acquire(tenant(), this::onDecision));
     }
 
     private void onDecision(LimitDecision decision) {
       if (decision instanceof LimitDecision.Allowed) {
-        ranNanos.add(clock.nanoTime());
+        admittedNanos.add(clock.nanoTime());
       } else {
         refused++;
       }
@@ -97,52 +97,52 @@
 
     void kill() {
       dead = true;
-      routers.forEach(other -> other.loseLater());
+      routers.forEach(other -> other.learnOfFailureLater());
     }
 
     void restart() {
       dead = false;
       incarnation++;
-      unread.clear();
+      pendingTasks.clear();
       timers = new TimerQueue();
       limiter = create();
       unreachable.clear();
-      learnOfAll();
-      routers.forEach(other -> other.findLater());
+      updateNearby();
+      routers.forEach(other -> other.learnOfRecoveryLater());
     }
 
     void cutFrom(Router other) {
       unreachable.add(other.number);
       other.unreachable.add(number);
-      loseLater();
-      other.loseLater();
+      learnOfFailureLater();
+      other.learnOfFailureLater();
     }
 
     void heal() {
       for (Router other : routers) {
         other.unreachable.remove(number);
         unreachable.remove(other.number);
-        other.findLater();
-        findLater();
+        other.learnOfRecoveryLater();
+        learnOfRecoveryLater();
       }
     }
 
-    void wake() {
+    void resume() {
       paused = false;
-      List<Runnable> waiting = new ArrayList<>(unread);
-      unread.clear();
+      List<Runnable> waiting = new ArrayList<>(pendingTasks);
+      pendingTasks.clear();
       waiting.forEach(Runnable::run);
     }
 
-    private void loseLater() {
-      network.schedule(clock.nanoTime() + NOTICED_AFTER.toNanos(), this::learnOfAll);
+    private void learnOfFailureLater() {
+      network.schedule(clock.nanoTime() + FAILURE_DETECTION_DELAY.toNanos(), this::updateNearby);
     }
 
-    private void findLater() {
-      network.schedule(clock.nanoTime() + LONGEST_DELAY.toNanos(), this::learnOfAll);
+    private void learnOfRecoveryLater() {
+      network.schedule(clock.nanoTime() + MAXIMUM_MESSAGE_DELAY.toNanos(), this::updateNearby);
     }
 
-    private void learnOfAll() {
+    private void updateNearby() {
       ImmutableList.Builder<NearbyRouter> known = ImmutableList.builder();
       for (Router other : routers) {
         if (other != this && !other.dead && !unreachable.contains(other.number)) {
@@ -170,13 +170,13 @@
         return;
       }
       PeerMessage message = new PeerMessage(record(), body);
-      long delay = (long) (random.nextDouble() * LONGEST_DELAY.toNanos());
+      long delay = (long) (random.nextDouble() * MAXIMUM_MESSAGE_DELAY.toNanos());
       network.schedule(clock.nanoTime() + delay, () -> to.receive(message));
     }
 
     private void receive(PeerMessage message) {
       if (!dead) {
-        whenAwake(this, () -> limiter.onMessage(message));
+        runUnlessPaused(this, () -> limiter.onMessage(message));
       }
     }
 
@@ -210,11 +210,11 @@
   }
 
   /** Returns the largest number of requests that ran within any window, from a given request on. */
-  int mostInAWindow(int from) {
+  int maximumWithinWindow(int from) {
     int most = 0;
     int first = from;
-    for (int last = from; last < ranNanos.size(); last++) {
-      while (ranNanos.get(last) - ranNanos.get(first) >= RULES.window().toNanos()) {
+    for (int last = from; last < admittedNanos.size(); last++) {
+      while (admittedNanos.get(last) - admittedNanos.get(first) >= RULES.window().toNanos()) {
         first++;
       }
       most = Math.max(most, last - first + 1);
@@ -227,9 +227,9 @@
     return limit.within(RULES.windowSeconds()) * (1 + RULES.overshoot()) + RULES.slack();
   }
 
-  private void whenAwake(Router router, Runnable task) {
+  private void runUnlessPaused(Router router, Runnable task) {
     if (router.paused) {
-      router.unread.add(task);
+      router.pendingTasks.add(task);
     } else {
       task.run();
     }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/TenantLimiterMessagesTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/TenantLimiterMessagesTest.java
@@ -29,7 +29,7 @@
   private static final String COUNTING = "counting";
   private static final TenantLimit LIMIT = new TenantLimit(1, 1);
   private static final LimitRules RULES = new LimitRules(Duration.ofSeconds(5), 0.25, 20);
-  private static final Duration LONG = Duration.ofMinutes(1);
+  private static final Duration ASK_DURATION = Duration.ofMinutes(1);
 
   private FakeClock clock;
   private TimerQueue timers;
@@ -47,14 +47,14 @@
     for (int number = 0; sent.isEmpty(); number++) {
       tenant = tenant("t-" + number, LIMIT);
       limiter = createLimiter(number);
-      askEachTime();
+      requireAsking();
       limiter.acquire(tenant, decision -> {}).cancel();
     }
     sent.clear();
   }
 
   @Test
-  public void aVerdictOfAnotherRouterLeavesTheQuestionOpen() {
+  public void aVerdictFromARouterThatWasNotAskedIsIgnored() {
     ask();
     PeerBody.TenantVerdict granted = grant(question().number());
     limiter.onMessage(from("not-asked", granted));
@@ -64,21 +64,21 @@
   }
 
   @Test
-  public void aQuestionThatNobodyAnswersIsDecidedHere() {
+  public void withoutAVerdictTheRouterDecidesByItself() {
     ask();
     advance(Duration.ofMillis(400));
     assertThat(decisions).hasSize(1);
   }
 
   @Test
-  public void twoLivesOfARouterDoNotNumberTheirMessagesAlike() {
+  public void incarnationsOfARouterNumberTheirMessagesDifferently() {
     long first = firstNumber(1);
     assertThat(firstNumber(2)).isNotEqualTo(first);
   }
 
   private long firstNumber(int seed) {
     limiter = createLimiter(seed);
-    askEachTime();
+    requireAsking();
     ask();
     return question().number();
   }
@@ -100,8 +100,8 @@
     limiter.acquire(tenant, decisions::add);
   }
 
-  private void askEachTime() {
-    PeerBody.Limited limited = new PeerBody.Limited(tenant.name(), LONG.toMillis());
+  private void requireAsking() {
+    PeerBody.Limited limited = new PeerBody.Limited(tenant.name(), ASK_DURATION.toMillis());
     limiter.onMessage(from(COUNTING, new PeerBody.TenantNotice(List.of(limited), false)));
   }
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/TenantLimiterTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/TenantLimiterTest.java
@@ -26,20 +26,20 @@
       LimitFleet fleet = new LimitFleet(77, limit, 0, 1);
       load(fleet, Duration.ofSeconds(60), limit.ratePerSecond() / 1.6);
       // Arrivals are random: occasionally more requests arrive than the burst allows.
-      assertThat((double) fleet.refused).isLessThan(0.02 * fleet.ranNanos.size() + 1);
+      assertThat((double) fleet.refused).isLessThan(0.02 * fleet.admittedNanos.size() + 1);
     }
   }
 
   @Test
-  public void aTenantFarBeyondItsLimitGetsJustThat() {
+  public void aTenantFarBeyondItsLimitGetsItsLimit() {
     LimitFleet fleet = new LimitFleet(77, LARGE, 0.01, 2);
     load(fleet, Duration.ofSeconds(10), 3.7);
     load(fleet, Duration.ofSeconds(7), 28);
 
-    assertThat((double) fleet.mostInAWindow(0)).isLessThanOrEqualTo(LimitFleet.bound(LARGE));
+    assertThat((double) fleet.maximumWithinWindow(0)).isLessThanOrEqualTo(LimitFleet.bound(LARGE));
     // The limit allows 42 requests in the last seven seconds. Far fewer would mean that requests
     // within the limit were refused.
-    assertThat(fleet.ranNanos.size()).isGreaterThan(37 + 36);
+    assertThat(fleet.admittedNanos.size()).isGreaterThan(37 + 36);
     load(fleet, Duration.ofSeconds(10), 0);
     int refusedBefore = fleet.refused;
     load(fleet, Duration.ofSeconds(10), 3);
@@ -47,45 +47,46 @@
   }
 
   @Test
-  public void callersThatRepeatAtOnceCostFewQuestions() {
+  public void callersThatRetryAtOnceGetNoMoreThanTheLimit() {
     LimitFleet fleet = new LimitFleet(9, LARGE, 0, 3);
     load(fleet, Duration.ofSeconds(10), 400);
 
-    assertThat((double) fleet.mostInAWindow(0)).isLessThanOrEqualTo(LimitFleet.bound(LARGE));
-    assertThat(fleet.ranNanos.size()).isBetween(50, 100);
+    assertThat((double) fleet.maximumWithinWindow(0)).isLessThanOrEqualTo(LimitFleet.bound(LARGE));
+    assertThat(fleet.admittedNanos.size()).isBetween(50, 100);
   }
 
   @Test
-  public void aLimitThatFallsBindsAfterAWindow() {
+  public void aLoweredLimitIsKeptAfterOneWindow() {
     LimitFleet fleet = new LimitFleet(30, LARGE, 0, 4);
     load(fleet, Duration.ofSeconds(10), 5);
     fleet.limit(SMALL);
     load(fleet, LimitFleet.RULES.window(), 5);
-    int from = fleet.ranNanos.size();
+    int from = fleet.admittedNanos.size();
     load(fleet, Duration.ofSeconds(15), 5);
 
-    assertThat((double) fleet.mostInAWindow(from)).isLessThanOrEqualTo(LimitFleet.bound(SMALL));
-    assertThat(fleet.ranNanos.size() - from).isGreaterThanOrEqualTo(13);
+    assertThat((double) fleet.maximumWithinWindow(from))
+        .isLessThanOrEqualTo(LimitFleet.bound(SMALL));
+    assertThat(fleet.admittedNanos.size() - from).isGreaterThanOrEqualTo(13);
   }
 
   @Test
-  public void afterTheLossOfAllAQuietTenantGetsInAtOnce() {
+  public void afterARestartOfAllRoutersARequestIsAdmittedAtOnce() {
     LimitFleet fleet = new LimitFleet(20, LARGE, 0, 5);
     load(fleet, Duration.ofSeconds(8), 20);
     fleet.routers.forEach(LimitFleet.Router::kill);
     fleet.advance(Duration.ofSeconds(1));
     fleet.routers.forEach(LimitFleet.Router::restart);
-    int before = fleet.ranNanos.size();
+    int before = fleet.admittedNanos.size();
     fleet.routers.get(3).ask();
     fleet.advance(Duration.ofMillis(400));
-    assertThat(fleet.ranNanos.size()).isEqualTo(before + 1);
+    assertThat(fleet.admittedNanos.size()).isEqualTo(before + 1);
 
     load(fleet, Duration.ofSeconds(8), 20);
-    assertThat((double) fleet.mostInAWindow(0)).isLessThanOrEqualTo(LimitFleet.bound(LARGE));
+    assertThat((double) fleet.maximumWithinWindow(0)).isLessThanOrEqualTo(LimitFleet.bound(LARGE));
   }
 
   @Test
-  public void bothSidesOfASplitStayWithinTheLimitTogether() {
+  public void bothSidesOfANetworkSplitTogetherStayWithinTheLimit() {
     LimitFleet fleet = new LimitFleet(20, LARGE, 0, 6);
     load(fleet, Duration.ofSeconds(8), 5);
     for (LimitFleet.Router one : fleet.routers.subList(0, 10)) {
@@ -94,22 +95,22 @@
       }
     }
     load(fleet, Duration.ofSeconds(20), 28);
-    assertThat((double) fleet.mostInAWindow(0)).isLessThanOrEqualTo(LimitFleet.bound(LARGE));
+    assertThat((double) fleet.maximumWithinWindow(0)).isLessThanOrEqualTo(LimitFleet.bound(LARGE));
   }
 
   @Test
   public void aCountingRouterThatPausesOrDiesIsReplaced() {
     LimitFleet fleet = new LimitFleet(12, LARGE, 0, 8);
     for (int round = 0; round < 12; round++) {
-      LimitFleet.Router struck = fleet.routers.get(round);
+      LimitFleet.Router target = fleet.routers.get(round);
       load(fleet, Duration.ofSeconds(4), 20);
-      struck.paused = true;
+      target.paused = true;
       load(fleet, Duration.ofSeconds(4), 20);
-      struck.wake();
+      target.resume();
     }
-    assertThat((double) fleet.mostInAWindow(0)).isLessThanOrEqualTo(LimitFleet.bound(LARGE));
+    assertThat((double) fleet.maximumWithinWindow(0)).isLessThanOrEqualTo(LimitFleet.bound(LARGE));
     // The limit allows six requests per second, over 96 seconds.
-    assertThat(fleet.ranNanos.size()).isGreaterThan(400);
+    assertThat(fleet.admittedNanos.size()).isGreaterThan(400);
   }
 
   /** Sends requests of one tenant at random times to random routers. */
