--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/ResponsibleRouters.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/ResponsibleRouters.java
@@ -11,7 +11,7 @@
 /**
  * Assigns requests to routers by rendezvous hashing, so that routers that know the same peers
  * agree. The first two routers for a request collect the crashes of servers that ran it, until it
- * is suspected. From some time after the last crash only the first one may run its canary.
+ * is suspected. After the canary period only the first one may run its canary.
  */
 final class ResponsibleRouters {
   /** More than one, so that the crashes are still known after a router dies. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectGossip.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectGossip.java
@@ -29,15 +29,15 @@
  * <p>The first crashes under a request go only to the two routers that collect them: there are
  * hundreds of such reports when connections are reset.
  *
- * <p>Reports that were lost, or were sent before a router started, are repaired: every router
- * regularly sends all suspected requests to random peers, and asks peers for theirs after its
- * start.
+ * <p>Reports that were lost, or were sent before a router started, are repaired: while a router
+ * knows suspected requests, it regularly sends them all to random peers, and after its start it
+ * asks peers for theirs.
  */
 final class SuspectGossip {
-  /** With eight peers a gossip round misses one router in three thousand. */
+  /** With eight peers a change misses about one router in three thousand. */
   private static final int FANOUT = 8;
 
-  /** Changes within this time are sent in one message. */
+  /** Changes within this time are sent together. */
   private static final Duration GOSSIP_DELAY = Duration.ofMillis(10);
 
   /**
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRules.java
@@ -24,7 +24,7 @@
     int maximumRequests) {
   /**
    * A request is suspected after three crashes. Servers restart within two seconds, so the canary
-   * time of 2.5 s lets any router clear a harmless request once they are back. All routers must
+   * period of 2.5 s lets any router clear a harmless request once they are back. All routers must
    * refuse a crashing request four seconds after the third crash; more than one second of them is
    * left for gossip and for requests in flight.
    */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimiter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimiter.java
@@ -26,8 +26,8 @@
 /**
  * Keeps each tenant within its limit over all routers. While a tenant is far from its limit, its
  * requests are admitted at once and reported to the router that counts them. Near the limit, this
- * router asks the counting router before it admits a request. The delay of the reports is bounded
- * as described in {@code docs/design/tenant-limits.md}.
+ * router asks the counting router before it admits a request. How late reports may be: {@code
+ * docs/design/tenant-limits.md}.
  *
  * <p>Load patterns that it is built for:
  *
@@ -40,7 +40,7 @@
  * </ul>
  */
 public final class TenantLimiter {
-  /** Use is collected this long before it is reported; the tolerance covers what runs meanwhile. */
+  /** Reports are batched for this long; the tolerance covers the requests that run meanwhile. */
   private static final Duration REPORT_DELAY = Duration.ofMillis(50);
 
   /** If a counting router sends no verdict within this time, another is asked. */
