--- /dev/null
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectGossip.java
@@ -0,0 +1,187 @@
+package io.arrowarch.core.suspect;
+
+import com.google.common.collect.ArrayListMultimap;
+import com.google.common.collect.ImmutableList;
+import com.google.common.collect.ListMultimap;
+import com.google.common.collect.Lists;
+import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.PeerBody;
+import io.arrowarch.core.peer.PeerGroup;
+import io.arrowarch.core.time.RouterClock;
+import io.arrowarch.core.time.TimerQueue;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Function;
+import java.util.function.Supplier;
+import java.util.random.RandomGenerator;
+
+/**
+ * Spreads reports about suspected requests by gossip. A router sends each change to a few random
+ * peers, and each peer that did not know the change does the same, so that all routers learn of it
+ * in a few rounds whatever the size of the fleet.
+ *
+ * <p>The first crashes under a request go only to the two routers that collect them: there are
+ * hundreds of such reports when connections are reset.
+ *
+ * <p>Reports that were lost, or were sent before a router started, are repaired: while a router
+ * knows suspected requests, it regularly sends them all to random peers, and after its start it
+ * asks peers for theirs.
+ */
+final class SuspectGossip {
+  /** With eight peers a change misses about one router in three thousand. */
+  private static final int FANOUT = 8;
+
+  /** Changes within this time are sent together. */
+  private static final Duration GOSSIP_DELAY = Duration.ofMillis(10);
+
+  /**
+   * First crashes are reported late, because the answer of another part usually clears the request
+   * meanwhile.
+   */
+  private static final Duration FIRST_CRASHES_DELAY = Duration.ofMillis(200);
+
+  private static final Duration REPAIR_INTERVAL = Duration.ofSeconds(1);
+  private static final int ROUTERS_TO_REPAIR = 2;
+
+  /**
+   * Delays after a start at which the router asks a peer. It asks more than once because the first
+   * peers may have just started too.
+   */
+  private static final ImmutableList<Duration> QUESTION_DELAYS =
+      ImmutableList.of(
+          Duration.ofMillis(300),
+          Duration.ofMillis(800),
+          Duration.ofMillis(1_500),
+          Duration.ofMillis(3_000));
+
+  /** A report takes about 120 bytes; this many fit into a datagram. */
+  private static final int REPORTS_PER_MESSAGE = 8;
+
+  private static final int MAXIMUM_REPORTS_PER_SEND = 64;
+
+  private final PeerGroup peers;
+  private final ResponsibleRouters responsible;
+  private final RouterClock clock;
+  private final TimerQueue timers;
+  private final RandomGenerator random;
+  private final Function<RequestKey, Optional<PeerBody.SuspectReport>> reports;
+  private final Supplier<ImmutableList<RequestKey>> suspectedKeys;
+  private final Set<RequestKey> pendingGossip = new LinkedHashSet<>();
+  private final Set<RequestKey> pendingFirstCrashes = new LinkedHashSet<>();
+  private boolean repairScheduled;
+
+  /**
+   * Creates the gossip of a router.
+   *
+   * @param reports returns the report about a request; empty if nothing is known about it
+   * @param suspectedKeys returns the requests that are suspected or quarantined
+   */
+  SuspectGossip(
+      PeerGroup peers,
+      ResponsibleRouters responsible,
+      RouterClock clock,
+      TimerQueue timers,
+      RandomGenerator random,
+      Function<RequestKey, Optional<PeerBody.SuspectReport>> reports,
+      Supplier<ImmutableList<RequestKey>> suspectedKeys) {
+    this.peers = peers;
+    this.responsible = responsible;
+    this.clock = clock;
+    this.timers = timers;
+    this.random = random;
+    this.reports = reports;
+    this.suspectedKeys = suspectedKeys;
+  }
+
+  /** Schedules the questions to peers after a start. */
+  void start() {
+    for (Duration time : QUESTION_DELAYS) {
+      timers.schedule(clock.nanoTime() + time.toNanos(), this::ask);
+    }
+  }
+
+  /** Schedules gossip about a request that is, or was, suspected or quarantined. */
+  void gossipLater(RequestKey key) {
+    if (pendingGossip.isEmpty()) {
+      timers.schedule(clock.nanoTime() + GOSSIP_DELAY.toNanos(), this::sendPendingGossip);
+    }
+    pendingGossip.add(key);
+    if (!repairScheduled) {
+      repairScheduled = true;
+      scheduleRepair();
+    }
+  }
+
+  /** Schedules a report of the first crashes under a request to the routers that collect them. */
+  void reportFirstCrashLater(RequestKey key) {
+    if (pendingFirstCrashes.isEmpty()) {
+      timers.schedule(clock.nanoTime() + FIRST_CRASHES_DELAY.toNanos(), this::sendFirstCrashes);
+    }
+    pendingFirstCrashes.add(key);
+  }
+
+  /** Sends the reports about all suspected requests to a peer that asked for them. */
+  void answer(String address) {
+    send(address, suspectedKeys.get());
+  }
+
+  private void sendPendingGossip() {
+    ImmutableList<RequestKey> keys = ImmutableList.copyOf(pendingGossip);
+    pendingGossip.clear();
+    sample(FANOUT).forEach(address -> send(address, keys));
+  }
+
+  private void sendFirstCrashes() {
+    ListMultimap<String, RequestKey> byRouter = ArrayListMultimap.create();
+    for (RequestKey key : pendingFirstCrashes) {
+      responsible.others(key).forEach(address -> byRouter.put(address, key));
+    }
+    pendingFirstCrashes.clear();
+    byRouter.asMap().forEach(this::send);
+  }
+
+  private void ask() {
+    sample(1).forEach(address -> peers.send(address, new PeerBody.SuspectQuestion()));
+  }
+
+  private void scheduleRepair() {
+    timers.schedule(clock.nanoTime() + REPAIR_INTERVAL.toNanos(), this::repair);
+  }
+
+  private void repair() {
+    ImmutableList<RequestKey> keys = suspectedKeys.get();
+    if (keys.isEmpty()) {
+      repairScheduled = false;
+      return;
+    }
+    sample(ROUTERS_TO_REPAIR).forEach(address -> send(address, keys));
+    scheduleRepair();
+  }
+
+  private void send(String address, Collection<RequestKey> keys) {
+    List<PeerBody.SuspectReport> found =
+        keys.stream()
+            .limit(MAXIMUM_REPORTS_PER_SEND)
+            .map(reports)
+            .flatMap(Optional::stream)
+            .toList();
+    for (List<PeerBody.SuspectReport> some : Lists.partition(found, REPORTS_PER_MESSAGE)) {
+      peers.send(address, new PeerBody.SuspectNotice(some));
+    }
+  }
+
+  private List<String> sample(int size) {
+    List<NearbyRouter> others = new ArrayList<>(peers.nearby());
+    int wanted = Math.min(size, others.size());
+    for (int i = 0; i < wanted; i++) {
+      Collections.swap(others, i, i + random.nextInt(others.size() - i));
+    }
+    return others.subList(0, wanted).stream().map(NearbyRouter::address).toList();
+  }
+}
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRequests.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRequests.java
@@ -16,15 +16,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The requests under which servers have ended lately, as this router and the others know them.
+ * The requests that servers were running when they crashed, as reported by this router and others.
  *
- * <p>Load patterns: one request that ends each server that runs it and comes again at any router
- * (its next coming reaches one server, later ones none); a rack that loses power under load (what
- * was in flight is cleared by the first answer of any of its parts, else tried on one server when
- * it comes again).
+ * <p>Load patterns that it is built for:
+ *
+ * <ul>
+ *   <li>One request crashes every server that runs it and is resubmitted to any router. Its next
+ *       arrival reaches one server, later arrivals reach none.
+ *   <li>A rack loses power under load. A request that was in flight is cleared by the first answer
+ *       to any of its parts; otherwise it is sent to one server as a canary when it is resubmitted.
+ * </ul>
  */
 public final class SuspectRequests {
-  private static final Duration FORGET_INTERVAL = Duration.ofSeconds(10);
+  private static final Duration EVICTION_INTERVAL = Duration.ofSeconds(10);
 
   private final String ownId;
   private final SuspectRules rules;
@@ -32,21 +36,21 @@
   private final RouterClock clock;
   private final TimerQueue timers;
   private final EventLog events;
-  private final SuspectNews news;
+  private final SuspectGossip gossip;
   private final Map<RequestKey, SuspectRecord> records = new LinkedHashMap<>();
   private long refused;
 
-  /** What may be done with a request that has come. */
+  /** What to do with an arriving request. */
   public enum Admission {
     /** It runs like any other. */
     RUN,
-    /** It is sent to one server; {@link #onCanaryEnded} must be told the end of that. */
+    /** It is sent to one server, and {@link #onCanaryEnded} is called when that has finished. */
     CANARY,
-    /** No server gets it. */
+    /** It is sent to no server. */
     REFUSE
   }
 
-  /** Creates a router's list, which is empty. */
+  /** Creates a router's record of suspected requests, which is empty. */
   public SuspectRequests(
       String ownId,
       SuspectRules rules,
@@ -61,21 +65,25 @@
     this.clock = clock;
     this.timers = timers;
     this.events = events;
-    this.news =
-        new SuspectNews(peers, responsible, clock, timers, random, this::report, this::known);
+    this.gossip =
+        new SuspectGossip(
+            peers, responsible, clock, timers, random, this::report, this::suspectedKeys);
   }
 
-  /** Asks the others for theirs, also later: they may have started together. */
+  /**
+   * Asks other routers for their suspected requests, several times in the next seconds: the first
+   * peers may have just started too.
+   */
   public void start() {
-    news.start();
+    gossip.start();
   }
 
-  /** Whether nothing is known against any request, so that none needs its key. */
+  /** Whether no crash is recorded for any request. Then requests need no key. */
   public boolean isEmpty() {
     return records.isEmpty();
   }
 
-  /** Requests that are suspected or quarantined. */
+  /** Returns how many requests are suspected or quarantined. */
   public long count() {
     long nowNanos = clock.nanoTime();
     return records.values().stream()
@@ -83,12 +91,12 @@
         .count();
   }
 
-  /** Requests that were refused since the start. */
+  /** Returns how many requests were refused since the start. */
   public long refused() {
     return refused;
   }
 
-  /** Decides on a request that has come. */
+  /** Decides what to do with an arriving request. */
   public Admission admit(RequestKey key) {
     SuspectRecord known = records.get(key);
     long nowNanos = clock.nanoTime();
@@ -105,34 +113,34 @@
   }
 
   /**
-   * Later than shortly after the ends only one router tries, so that routers that have not heard of
-   * each other's canaries do not send the request to several servers.
+   * Shortly after the crashes any router may run a canary, later only the responsible one: routers
+   * that have not heard of each other's canaries would send the request to several servers.
    */
   private boolean mayRunCanary(RequestKey key, SuspectRecord known, long nowNanos) {
-    return !known.hasCanary() && (known.isCanaryTime(nowNanos) || responsible.isSelf(key));
+    return !known.hasCanary() && (known.anyRouterMayRunCanary(nowNanos) || responsible.isSelf(key));
   }
 
-  /** What is believed of a request. */
+  /** Returns whether a request may be sent to servers. */
   public Standing standing(RequestKey key) {
     SuspectRecord known = records.get(key);
     return known == null ? Standing.FREE : known.standing(clock.nanoTime());
   }
 
   /**
-   * A server has ended while a request was open there, as far as its connection tells.
+   * A server crashed while a request was open there, as far as its connection shows.
    *
-   * @param byCanary whether the request was tried on that server
+   * @param byCanary whether the server ran the request's canary
    */
-  public void onServerEnded(RequestKey key, String server, boolean byCanary) {
+  public void onServerCrashed(RequestKey key, String server, boolean byCanary) {
     long nowNanos = clock.nanoTime();
     SuspectRecord known = recordOf(key, nowNanos);
     Standing before = known.standing(nowNanos);
-    if (known.onServerEnded(server, byCanary, nowNanos)) {
-      onNews(key, known, before, ownId, nowNanos);
+    if (known.onServerCrashed(server, byCanary, nowNanos)) {
+      onChanged(key, known, before, ownId, nowNanos);
     }
   }
 
-  /** A server has run a request to an answer: it does not end servers. */
+  /** A server ran a request and answered, so the request does not crash servers. */
   public void onAnswered(RequestKey key) {
     SuspectRecord known = records.get(key);
     if (known == null) {
@@ -141,14 +149,14 @@
     long nowNanos = clock.nanoTime();
     Standing before = known.standing(nowNanos);
     if (known.onAnswered(nowNanos)) {
-      onNews(key, known, before, ownId, nowNanos);
+      onChanged(key, known, before, ownId, nowNanos);
     }
   }
 
   /**
-   * The run on one server has ended, whatever came of it.
+   * A canary has finished, with or without an answer.
    *
-   * @param mayHaveRun whether it has reached a server
+   * @param mayHaveRun whether the canary may have reached a server
    */
   public void onCanaryEnded(RequestKey key, boolean mayHaveRun) {
     SuspectRecord known = records.get(key);
@@ -159,21 +167,21 @@
     Standing before = known.standing(nowNanos);
     known.onCanaryEnded(mayHaveRun, nowNanos);
     if (known.standing(nowNanos) != before) {
-      onNews(key, known, before, ownId, nowNanos);
+      onChanged(key, known, before, ownId, nowNanos);
     }
   }
 
-  /** Takes a message of another router; others than those about requests are left alone. */
+  /** Handles a message of another router; ignores messages that are not about requests. */
   public void onMessage(PeerMessage message) {
     PeerBody body = message.body();
     if (body instanceof PeerBody.SuspectNotice notice) {
-      notice.reports().forEach(report -> take(report, message.sender().id()));
+      notice.reports().forEach(report -> onReport(report, message.sender().id()));
     } else if (body instanceof PeerBody.SuspectQuestion) {
-      news.answer(message.sender().address());
+      gossip.answer(message.sender().address());
     }
   }
 
-  private void take(PeerBody.SuspectReport report, String by) {
+  private void onReport(PeerBody.SuspectReport report, String by) {
     Optional<ReportKind> kind = ReportKind.ofWireName(report.kind());
     if (kind.isEmpty()) {
       return;
@@ -184,16 +192,16 @@
     Standing before = known.standing(nowNanos);
     long asOfNanos = nowNanos - Duration.ofMillis(report.ageMillis()).toNanos();
     if (known.merge(kind.get(), report.servers(), asOfNanos)) {
-      onNews(key, known, before, by, nowNanos);
+      onChanged(key, known, before, by, nowNanos);
     }
   }
 
   private SuspectRecord recordOf(RequestKey key, long nowNanos) {
     SuspectRecord known = records.get(key);
     if (known == null) {
-      forgetWhatIsOver(nowNanos);
+      evictExpired(nowNanos);
       if (records.isEmpty()) {
-        forgetLater();
+        scheduleEviction();
       }
       known = new SuspectRecord(rules, nowNanos);
       records.put(key, known);
@@ -201,26 +209,26 @@
     return known;
   }
 
-  /** Once nothing is known any more, no request needs its key. */
-  private void forgetLater() {
+  /** Requests need no key once the last record is gone, so expired ones are removed by a timer. */
+  private void scheduleEviction() {
     timers.schedule(
-        clock.nanoTime() + FORGET_INTERVAL.toNanos(),
+        clock.nanoTime() + EVICTION_INTERVAL.toNanos(),
         () -> {
-          forgetWhatIsOver(clock.nanoTime());
+          evictExpired(clock.nanoTime());
           if (!records.isEmpty()) {
-            forgetLater();
+            scheduleEviction();
           }
         });
   }
 
-  private void forgetWhatIsOver(long nowNanos) {
-    records.values().removeIf(known -> known.isOver(nowNanos));
-    while (records.size() >= rules.mostRequests()) {
-      records.remove(seenLongestAgo());
+  private void evictExpired(long nowNanos) {
+    records.values().removeIf(known -> known.isExpired(nowNanos));
+    while (records.size() >= rules.maximumRequests()) {
+      records.remove(leastRecentlySeen());
     }
   }
 
-  private RequestKey seenLongestAgo() {
+  private RequestKey leastRecentlySeen() {
     Iterator<Map.Entry<RequestKey, SuspectRecord>> entries = records.entrySet().iterator();
     Map.Entry<RequestKey, SuspectRecord> oldest = entries.next();
     while (entries.hasNext()) {
@@ -232,16 +240,17 @@
     return oldest.getKey();
   }
 
-  private void onNews(
+  private void onChanged(
       RequestKey key, SuspectRecord known, Standing before, String by, long nowNanos) {
     Standing now = known.standing(nowNanos);
     if (now != before) {
-      events.log(new RouterEvent.SuspectChanged(key.logName(), now.logName(), known.ends(), by));
+      events.log(
+          new RouterEvent.SuspectChanged(key.logName(), now.logName(), known.crashCount(), by));
     }
     if (now != Standing.FREE || before != Standing.FREE) {
-      news.tellAll(key);
+      gossip.gossipLater(key);
     } else if (by.equals(ownId)) {
-      news.tellResponsible(key);
+      gossip.reportFirstCrashLater(key);
     }
   }
 
@@ -249,8 +258,8 @@
     return Optional.ofNullable(records.get(key)).map(known -> known.report(key, clock.nanoTime()));
   }
 
-  /** What a router that knows nothing must be told. */
-  private ImmutableList<RequestKey> known() {
+  /** Returns the requests that are suspected or quarantined. */
+  private ImmutableList<RequestKey> suspectedKeys() {
     long nowNanos = clock.nanoTime();
     return records.entrySet().stream()
         .filter(entry -> entry.getValue().standing(nowNanos) != Standing.FREE)
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/AuthenticatorTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/AuthenticatorTest.java
@@ -10,9 +10,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/**
+ * Callers are identified by their API keys from a view of the tenants that may be out of date: with
+ * an old view a revoked key would still be accepted, or a new key rejected as unknown.
+ */
 public final class AuthenticatorTest {
   private static final Duration BOUND = Duration.ofSeconds(5);
-  private static final Duration OLD = Duration.ofMillis(4_900);
+  private static final Duration OLD_AGE = Duration.ofMillis(4_900);
   private static final Credential KEY = Credential.ofKey("key-of-one");
   private static final Credential OTHER = Credential.ofKey("key-of-two");
   private static final Tenant ONE = tenant("one", KEY);
@@ -31,21 +35,21 @@
   }
 
   @Test
-  public void aKnownKeyNamesItsTenant() {
+  public void aKnownKeyIdentifiesItsTenant() {
     assertThat(identify(strict, BOTH, Optional.of(KEY))).isEqualTo(known(ONE));
     assertThat(identify(strict, BOTH, Optional.of(OTHER))).isEqualTo(known(TWO));
   }
 
   @Test
-  public void whoHasNoKeyThatAnybodyHasIsUnknown() {
+  public void aMissingKeyOrOneOfNoTenantIsUnknown() {
     assertThat(identify(strict, BOTH, Optional.empty())).isInstanceOf(Identity.Unknown.class);
     assertThat(identify(strict, BOTH, Optional.of(Credential.ofKey("guess"))))
         .isInstanceOf(Identity.Unknown.class);
   }
 
   @Test
-  public void anOldViewNeitherLetsInNorTurnsAwayForGood() {
-    age = Optional.of(OLD);
+  public void anOldViewNeitherAcceptsNorRejectsKeys() {
+    age = Optional.of(OLD_AGE);
     assertThat(identify(strict, BOTH, Optional.of(KEY))).isInstanceOf(Identity.NotConfirmed.class);
     assertThat(identify(strict, BOTH, Optional.empty())).isInstanceOf(Identity.NotConfirmed.class);
     assertThat(identify(lenient, BOTH, Optional.of(Credential.ofKey("new"))))
@@ -55,28 +59,28 @@
   }
 
   @Test
-  public void whereWithdrawalsNeedNotBeStrictAnOldViewLetsKnownKeysIn() {
+  public void withLenientRevocationAnOldViewAcceptsKnownKeys() {
     age = Optional.of(Duration.ofMinutes(5));
     assertThat(identify(lenient, BOTH, Optional.of(KEY))).isEqualTo(known(ONE));
-    assertThat(lenient.isClosed(BOTH)).isFalse();
-    assertThat(strict.isClosed(BOTH)).isTrue();
-    assertThat(strict.isClosed(Tenants.NONE)).isFalse();
+    assertThat(lenient.refusesApiKeys(BOTH)).isFalse();
+    assertThat(strict.refusesApiKeys(BOTH)).isTrue();
+    assertThat(strict.refusesApiKeys(Tenants.NONE)).isFalse();
   }
 
   @Test
-  public void publicRoutesNeedNoKeyAndNameATenantOnlyFromAFreshView() {
-    assertThat(strict.identify(BOTH, true, Optional.empty())).isEqualTo(nobody());
+  public void publicRoutesNeedNoKeyAndIdentifyTenantsOnlyFromAFreshView() {
+    assertThat(strict.identify(BOTH, true, Optional.empty())).isEqualTo(noTenant());
     assertThat(strict.identify(BOTH, true, Optional.of(Credential.ofKey("guess"))))
-        .isEqualTo(nobody());
+        .isEqualTo(noTenant());
     assertThat(strict.identify(BOTH, true, Optional.of(KEY))).isEqualTo(known(ONE));
-    age = Optional.of(OLD);
-    assertThat(strict.identify(BOTH, true, Optional.of(KEY))).isEqualTo(nobody());
+    age = Optional.of(OLD_AGE);
+    assertThat(strict.identify(BOTH, true, Optional.of(KEY))).isEqualTo(noTenant());
   }
 
   @Test
   public void withoutTenantsNoKeyIsNeeded() {
     age = Optional.empty();
-    assertThat(identify(strict, Tenants.NONE, Optional.of(KEY))).isEqualTo(nobody());
+    assertThat(identify(strict, Tenants.NONE, Optional.of(KEY))).isEqualTo(noTenant());
   }
 
   @Test
@@ -86,13 +90,13 @@
   }
 
   @Test
-  public void aKeyThatWasTakenAwayOrMovedRunsNothingMore() {
+  public void noAttemptRunsWithAKeyThatWasRevokedOrMoved() {
     assertThat(strict.mayRun(BOTH, "one", KEY)).isTrue();
     assertThat(strict.mayRun(new Tenants(ImmutableList.of(TWO)), "one", KEY)).isFalse();
     assertThat(strict.mayRun(Tenants.NONE, "one", KEY)).isFalse();
     assertThat(strict.mayRun(new Tenants(ImmutableList.of(tenant("new", KEY))), "one", KEY))
         .isFalse();
-    age = Optional.of(OLD);
+    age = Optional.of(OLD_AGE);
     assertThat(strict.mayRun(BOTH, "one", KEY)).isFalse();
     assertThat(lenient.mayRun(BOTH, "one", KEY)).isTrue();
   }
@@ -113,7 +117,7 @@
     return new Identity.Known(Optional.of(tenant));
   }
 
-  private static Identity nobody() {
+  private static Identity noTenant() {
     return new Identity.Known(Optional.empty());
   }
 
