--- a/arrowarch-core/src/main/java/io/arrowarch/core/error/ErrorKind.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/error/ErrorKind.java
@@ -3,40 +3,40 @@
 import java.util.Locale;
 
 /**
- * The closed list of errors that a caller can see.
+ * All errors that a caller can see.
  *
- * <p>Each kind fixes the HTTP status, the strongest claim about execution that the kind allows, and
- * whether the caller may send the same request again. The claim that a given answer makes is the
- * state of its query; {@link #executed()} is what holds when the kind arises before any attempt.
+ * <p>Each kind determines the HTTP status, whether the same request may be retried, and what is
+ * known about execution when the error arises before any attempt was written. An error that arises
+ * later carries its own {@link Executed}, from the attempts of its query.
  */
 public enum ErrorKind {
   /** The request could not be parsed. */
   MALFORMED_REQUEST(400, Executed.NO, false),
   /** No query kind of this name is configured. */
   UNKNOWN_KIND(404, Executed.NO, false),
-  /** No such path or method. */
+  /** There is no such path or method. */
   UNKNOWN_PATH(404, Executed.NO, false),
-  /** The deadline header is missing a number, or outside the allowed range. */
+  /** The deadline header is not a number, or outside the allowed range. */
   INVALID_DEADLINE(400, Executed.NO, false),
-  /** A header that must be single was given more than once. */
+  /** A header that may occur only once was given more than once. */
   DUPLICATE_HEADER(400, Executed.NO, false),
   /** The body is larger than the configured limit. */
   BODY_TOO_LARGE(413, Executed.NO, false),
   /** The body did not arrive within the time allowed for reading it. */
   REQUEST_TIMEOUT(408, Executed.NO, true),
-  /** A non-repeatable request came without a ticket; the answer carries one. */
+  /** A non-repeatable request carried no ticket; the answer contains one. */
   TICKET_REQUIRED(428, Executed.NO, true),
   /** The ticket was issued by another node or by an earlier incarnation of this one. */
   TICKET_ELSEWHERE(421, Executed.UNKNOWN, false),
-  /** The ticket is older than this node's record of used tickets. */
+  /** The ticket is older than the oldest redemption that this node still remembers. */
   TICKET_EXPIRED(410, Executed.UNKNOWN, false),
-  /** The ticket was redeemed before with another request. */
+  /** The ticket has already been redeemed with another request. */
   TICKET_MISMATCH(409, Executed.NO, false),
-  /** The request needs a key that a tenant has, and carries none or another. */
+  /** The request needs the API key of a tenant, and has none or an unknown one. */
   UNAUTHENTICATED(401, Executed.NO, false),
-  /** The tenant has asked for more than its limit over all routers. */
+  /** The tenant has exceeded its limit over all routers. */
   LIMIT_EXCEEDED(429, Executed.NO, true),
-  /** The node is stopping and takes no new queries. */
+  /** The node is shutting down and accepts no new queries. */
   DRAINING(503, Executed.NO, true),
   /** The node could not confirm that its configuration is current. */
   NOT_CONFIRMED(503, Executed.NO, true),
@@ -44,15 +44,15 @@
   NO_CONFIGURATION(503, Executed.NO, true),
   /** Too many queries are in progress or waiting. */
   OVERLOADED(503, Executed.NO, true),
-  /** No selector of the kind chooses a back end here and now. */
+  /** No rule of the kind selects a back end at this place and time. */
   NOTHING_SELECTED(503, Executed.NO, true),
-  /** Servers that ran this very request have ended; it is kept from the others. */
+  /** Servers crashed while running this request, so it is not sent to others. */
   ENDS_SERVERS(503, Executed.NO, false),
   /** Fewer shards answered than the kind's minimum coverage. */
   COVERAGE_TOO_LOW(503, Executed.UNKNOWN, true),
   /** The deadline passed without an answer. */
   DEADLINE_EXCEEDED(504, Executed.UNKNOWN, true),
-  /** The back end of a single-shard request failed or could not be reached. */
+  /** The back end of a single-shard request failed or was unreachable. */
   BACKEND_FAILED(502, Executed.UNKNOWN, true),
   /** A defect in the router itself. */
   INTERNAL(500, Executed.UNKNOWN, false);
@@ -77,14 +77,12 @@
     return executed;
   }
 
-  /**
-   * Whether sending the same request again can succeed; the answer then has {@code Retry-After}.
-   */
+  /** Whether a retry of the same request can succeed; the answer then has {@code Retry-After}. */
   public boolean retryable() {
     return retryable;
   }
 
-  /** The stable name used in answers, for example {@code unknown-kind}. */
+  /** The stable name in answers, for example {@code unknown-kind}. */
   public String wireName() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/error/Executed.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/error/Executed.java
@@ -4,9 +4,9 @@
 public enum Executed {
   /** At least one back end answered that it ran the request. */
   YES("yes"),
-  /** Every attempt is proven not to have run: never written, or refused with the not-run mark. */
+  /** No attempt ran: each was never written, or was refused with the not-run mark. */
   NO("no"),
-  /** Nothing is proven: an attempt was written and its outcome was not seen. */
+  /** Nothing is proven: an attempt was written and its outcome is not known. */
   UNKNOWN("unknown");
 
   private final String wireName;
@@ -15,7 +15,7 @@
     this.wireName = wireName;
   }
 
-  /** The lower-case name used in answers and headers. */
+  /** The lower-case name in answers and headers. */
   public String wireName() {
     return wireName;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/error/QueryError.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/error/QueryError.java
@@ -8,10 +8,10 @@
 /**
  * An error answer to one request.
  *
- * @param kind the kind out of the closed list
+ * @param kind determines the HTTP status
  * @param detail one sentence for the caller
  * @param executed what this router can prove about execution
- * @param retryAfter when to come back, for kinds that are retryable
+ * @param retryAfter after what delay to retry, for kinds that are retryable
  */
 public record QueryError(
     ErrorKind kind, String detail, Executed executed, Optional<Duration> retryAfter) {
@@ -27,7 +27,7 @@
     return new QueryError(kind, detail, kind.executed(), Optional.empty());
   }
 
-  /** The same error with a time to come back. */
+  /** The same error with a delay after which to retry. */
   public QueryError withRetryAfter(Duration delay) {
     return new QueryError(kind, detail, executed, Optional.of(delay));
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/event/EventLog.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/event/EventLog.java
@@ -1,18 +1,18 @@
 package io.arrowarch.core.event;
 
-/** Takes events for operators. Never blocks and never fails. */
+/** Logs events for operators. Implementations neither block nor throw. */
 public interface EventLog {
-  /** Drops everything. */
+  /** Discards all events. */
   EventLog NONE = event -> {};
 
   /**
-   * Whether routine events of a request are written; those of others need not even be made. Events
-   * that are important are taken in any case.
+   * Whether the routine events of a request are written. Callers need not create them for a request
+   * that is not sampled. Important events are always accepted.
    */
   default boolean isSampled(String requestId) {
     return true;
   }
 
-  /** Takes an event. */
+  /** Logs an event. */
   void log(RouterEvent event);
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/event/RouterEvent.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/event/RouterEvent.java
@@ -5,22 +5,23 @@
 import java.util.List;
 
 /**
- * A decision that touches a request, or a change of what the router believes. Names of fields are
- * stable; times are milliseconds. The list with meanings stands in docs/OPERATIONS.md.
+ * An event for operators: a decision about a request, or a change in what the router knows.
+ * Operators rely on the names of events and fields, which are listed in docs/OPERATIONS.md; they
+ * are stable. Times are in milliseconds.
  */
 public sealed interface RouterEvent {
-  /** The stable name in logs. */
+  /** The name of the event in logs. */
   String eventName();
 
-  /** Tells the fields, under their stable names. */
+  /** Writes the fields under their names in logs. */
   void writeTo(EventFields fields);
 
-  /** Whether it is written before and instead of routine events when there is no room for all. */
+  /** Whether it takes precedence over routine events when the log cannot hold all. */
   default boolean isImportant() {
     return true;
   }
 
-  /** The request that it touches; empty for a belief. */
+  /** The id of the request that the event is about; empty for one that is about no request. */
   default String requestId() {
     return "";
   }
@@ -28,15 +29,16 @@
   /**
    * A request got its final answer, or was cancelled by its caller.
    *
-   * @param requestKey by which it is known again when it comes once more; empty where it was
-   *     answered or not looked at
+   * @param requestKey hash that identifies the request when it is sent again; empty where it was
+   *     answered or not examined
+   * @param version of the configuration that applied to it; 0 without one
    * @param outcome answered, partial, refused, failed, cancelled
    * @param error name of the error kind; empty for a success
-   * @param reason why it ended now
-   * @param version of the configuration that it was handled by; 0 without one
-   * @param viewAgeMs how old the view of the store was by which it was refused; -1 where it was not
-   *     refused before it ran, or nothing was known
-   * @param missing parts that are not in the answer, with what was tried for them
+   * @param reason why it ended at this time
+   * @param partsIn parts that were answered
+   * @param viewAgeMs age of the view of the store by which it was refused; -1 where it was not
+   *     refused before it ran, or the view was never complete
+   * @param missing parts that are not in the answer, with the attempts made for them
    */
   record RequestEnded(
       String requestId,
@@ -95,10 +97,9 @@
    * A part that is not in an answer.
    *
    * @param state open, waiting for a connection, or lost
+   * @param sent attempts in total
    * @param open attempts that had not ended, as server and age in milliseconds
-   * @param sent attempts in all
-   * @param hedgeDenied why there was no second attempt, when last looked at; empty: it was not
-   *     wanted
+   * @param hedgeDenied why no hedge was sent, when last examined; empty if none was due
    */
   record MissingPart(
       String service, String state, int sent, List<String> open, String hedgeDenied) {
@@ -121,9 +122,9 @@
    * An attempt was sent.
    *
    * @param purpose first, hedge or retry
-   * @param load requests that the server was believed to hold
-   * @param reportAgeMs age of its newest report; -1 without one
-   * @param budgetLeft extra attempts that the service's window still allows
+   * @param load estimated number of requests at the server
+   * @param reportAgeMs age of the server's newest load report; -1 without one
+   * @param budgetLeft extra attempts that the budget of the service still allows
    */
   record AttemptSent(
       String requestId,
@@ -167,7 +168,12 @@
     }
   }
 
-  /** An attempt ended without a usable answer; {@code outcome} says how. */
+  /**
+   * An attempt ended without a usable answer.
+   *
+   * @param outcome how it ended
+   * @param next what followed
+   */
   record AttemptFailed(
       String requestId,
       long attempt,
@@ -198,10 +204,11 @@
   }
 
   /**
-   * Parts of a search were handed to a router nearer to their servers, and have ended there.
+   * The delegation of parts of a search to a router nearer to their servers has ended.
    *
-   * @param delegate the other router, whose own line tells what it did
-   * @param outcome answered, declined (they are run here), failed, lost, cancelled
+   * @param delegate the other router, which logs its own handling of the parts
+   * @param outcome answered, declined (this router then runs the parts itself), failed, lost,
+   *     cancelled
    */
   record PartsDelegated(
       String requestId,
@@ -241,9 +248,9 @@
    * States of servers changed in the router's view, by one answer of the store or of another
    * router.
    *
-   * @param status ready, draining, gone; restarted: another process has taken the name; stale: what
-   *     was read was said before what is known
-   * @param count how many
+   * @param status ready, draining, gone; restarted: another process now has the name; stale: the
+   *     entry that was read is older than the one that is known
+   * @param count number of servers
    * @param servers the first of them, each as its id and its service
    */
   record ServersChanged(String status, StoreRevision revision, int count, List<String> servers)
@@ -270,15 +277,15 @@
   }
 
   /**
-   * An entry of the store is not what its key is for, and names no server to use.
+   * An entry of the store is malformed, so that its server is not used.
    *
-   * @param fault one sentence, without anything that was written
+   * @param fault one sentence, without any of the entry's contents
    */
   record EntryMalformed(String key, StoreRevision revision, String fault) implements RouterEvent {
-    /** A key may be long, and is another writer's choice. */
+    /** Keys are written by other systems and may be of any length. */
     private static final int LONGEST_KEY = 120;
 
-    /** Shortens the key. */
+    /** Truncates the key. */
     public EntryMalformed {
       key = key.length() > LONGEST_KEY ? key.substring(0, LONGEST_KEY) : key;
     }
@@ -299,7 +306,7 @@
   }
 
   /**
-   * The servers of a zone get nothing from now on, or may be used again.
+   * A zone was evacuated, so that its servers get no requests, or may be used again.
    *
    * @param state evacuated or returned
    */
@@ -319,7 +326,7 @@
     }
   }
 
-  /** A configuration was taken or refused. */
+  /** A configuration was accepted or refused. */
   record ConfigurationChanged(
       long version, StoreRevision revision, String outcome, String reason, int routes)
       implements RouterEvent {
@@ -341,9 +348,10 @@
   }
 
   /**
-   * The store was lost, regained or listed anew, or is followed elsewhere.
+   * The store became unavailable, recovered or was listed again, or the source of its changes
+   * switched.
    *
-   * @param reason why; for {@code follows} where changes are heard from now on
+   * @param reason why; for {@code follows}, the new source of changes
    */
   record StoreChanged(String state, String reason, StoreRevision revision, int servers)
       implements RouterEvent {
@@ -364,12 +372,12 @@
   }
 
   /**
-   * A tenant came near its limit over all routers, or is far from it again; or a router that counts
-   * tenants gave no verdict.
+   * A tenant came near its limit over all routers, or is no longer near it; or the router that
+   * counts it gave no verdict.
    *
    * @param state near, released, no verdict
-   * @param by the router that counts it
-   * @param left requests that its limit still allows there
+   * @param by the router that counts the tenant
+   * @param left requests that the limit still allows, as counted there
    */
   record TenantChanged(String tenant, String state, String by, double left) implements RouterEvent {
     @Override
@@ -384,10 +392,11 @@
   }
 
   /**
-   * Requests with keys are served or refused from now on, by the age of the router's view.
+   * The router's view of the store became too old to serve requests with API keys, or became fresh
+   * enough again.
    *
    * @param state fresh or old
-   * @param ageMs of the view; -1 when it was never complete
+   * @param ageMs age of the view; -1 when it was never complete
    */
   record ViewChanged(String state, double ageMs) implements RouterEvent {
     @Override
@@ -402,12 +411,12 @@
   }
 
   /**
-   * What is believed of a request that servers have ended under.
+   * A request that servers crashed while running has changed its state.
    *
-   * @param requestKey first digits of the hash by which it is known again
+   * @param requestKey first digits of the hash that identifies the request when it is sent again
    * @param state free, suspected, quarantined
-   * @param ends servers that have ended under it, as far as they are counted
-   * @param by the router whose knowledge it was
+   * @param ends servers that crashed while running it, as far as they are counted
+   * @param by the router that reported the change
    */
   record SuspectChanged(String requestKey, String state, int ends, String by)
       implements RouterEvent {
@@ -422,7 +431,7 @@
     }
   }
 
-  /** How many routers share budgets and connections, as this one believes. */
+  /** This router's estimate of how many routers share budgets and connections has changed. */
   record RoutersChanged(int before, int now) implements RouterEvent {
     @Override
     public String eventName() {
@@ -435,7 +444,11 @@
     }
   }
 
-  /** A process starts, is ready, reloads or stops. */
+  /**
+   * This process started, became ready, reloaded or is stopping.
+   *
+   * @param upMs time since the start of the process
+   */
   record ProcessChanged(String state, String reason, double upMs) implements RouterEvent {
     @Override
     public String eventName() {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/hedge/AdaptiveHedgePolicy.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/hedge/AdaptiveHedgePolicy.java
@@ -5,7 +5,10 @@
   private static final double QUANTILE = 0.95;
   private static final double FACTOR = 1.5;
 
-  /** Until latencies are known, a hedge starts in time to help within the deadline. */
+  /**
+   * Until latencies are known, the quantile is taken to be the deadline divided by this, so that a
+   * hedge is sent in time to help.
+   */
   private static final int FALLBACK_DEADLINE_PARTS = 4;
 
   private static final long MINIMUM_NANOS = 1_000_000;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/hedge/ExtraAttemptBudget.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/hedge/ExtraAttemptBudget.java
@@ -5,7 +5,10 @@
  * One per query kind and router.
  */
 public final class ExtraAttemptBudget {
-  /** Allows the shards of a query that meets a dying back end to be retried at low traffic. */
+  /**
+   * At low traffic, first attempts earn few tokens; this many let a query retry its shards when a
+   * back end fails.
+   */
   private static final double BURST = 16;
 
   private static final double COST_AFTER_SHED = 3;
@@ -22,17 +25,20 @@
     this.fraction = fraction;
   }
 
-  /** Notes a first attempt, which earns a fraction of a token. */
+  /** Counts a first attempt, which adds a fraction of a token. */
   public void onFirstAttempt() {
     tokens = Math.min(BURST, tokens + fraction);
   }
 
-  /** Pays for an extra attempt; false when the bucket does not hold enough. */
+  /** Withdraws a token for an extra attempt; returns false when there are too few. */
   public boolean tryWithdraw() {
     return tryWithdraw(1);
   }
 
-  /** Pays for a retry after a refusal because of load, which must not add to that load. */
+  /**
+   * Withdraws tokens for a retry after a back end shed the request. Such a retry costs more than
+   * another extra attempt, so that retries do not add much to the load that caused the refusal.
+   */
   public boolean tryWithdrawAfterShed() {
     return tryWithdraw(COST_AFTER_SHED);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/hedge/HedgePolicy.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/hedge/HedgePolicy.java
@@ -1,12 +1,12 @@
 package io.arrowarch.core.hedge;
 
-/** When an attempt is slow enough to start a second one. */
+/** Decides after what delay a slow attempt is hedged. */
 public interface HedgePolicy {
   /**
-   * How long an attempt may be outstanding before a second one starts.
+   * How long an attempt may be outstanding before a hedge is sent, in nanoseconds.
    *
-   * @param latencies of the query kind
-   * @param deadlineNanos the length of the query's deadline
+   * @param latencies recent latencies of the query kind
+   * @param deadlineNanos time from the arrival of the query to its deadline
    */
   long delayNanos(LatencyTracker latencies, long deadlineNanos);
 
@@ -14,8 +14,8 @@
   boolean isBudgeted();
 
   /**
-   * The product's policy: a multiple of a quantile that a few slow replies in a hundred cannot
-   * move, so that the delay stays put while replies get slow.
+   * The policy used in production: a multiple of a latency quantile. A few slow replies in a
+   * hundred do not change that quantile, so the delay does not grow when a few replies become slow.
    */
   static HedgePolicy adaptive() {
     return new AdaptiveHedgePolicy();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/hedge/LatencyTracker.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/hedge/LatencyTracker.java
@@ -6,8 +6,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Latencies of successful attempts of one query kind over the last one to two windows. Values are
- * microseconds.
+ * Latencies of successful attempts of one query kind over the last one to two windows. Histograms
+ * hold microseconds.
  */
 public final class LatencyTracker {
   private static final long WINDOW_NANOS = Duration.ofSeconds(5).toNanos();
@@ -15,7 +15,7 @@
   private static final int SIGNIFICANT_DIGITS = 2;
   private static final int MINIMUM_SAMPLES = 50;
 
-  /** A quantile walks over the whole histogram; one that is some samples old serves as well. */
+  /** Quantiles are cached for this many samples, since computing one scans the whole histogram. */
   private static final int SAMPLES_UNTIL_STALE = 64;
 
   private Histogram current = new Histogram(MAXIMUM_MICROS, SIGNIFICANT_DIGITS);
@@ -24,7 +24,7 @@
   private final Map<Double, Long> quantiles = new HashMap<>();
   private int samplesSinceQuantiles;
 
-  /** Takes the latency of an attempt that answered. */
+  /** Records the latency of an attempt that was answered. */
   public void record(long latencyNanos, long nowNanos) {
     rotateIfDue(nowNanos);
     current.recordValue(Math.min(MAXIMUM_MICROS, Math.max(1, latencyNanos / 1_000)));
@@ -35,11 +35,12 @@
   }
 
   /**
-   * A quantile of the window with enough samples, at most {@value #SAMPLES_UNTIL_STALE} of them
-   * ago.
+   * A quantile of the current window, or of the previous one while the current has too few samples.
+   * The value may be up to {@value #SAMPLES_UNTIL_STALE} samples old.
    *
    * @param quantile from 0 to 1
-   * @param fallbackNanos returned while there are too few samples
+   * @param fallbackNanos returned while neither window has enough samples
+   * @return the quantile in nanoseconds
    */
   public long quantileNanos(double quantile, long fallbackNanos) {
     Histogram source = current.getTotalCount() >= MINIMUM_SAMPLES ? current : previous;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/membership/MemberTable.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/membership/MemberTable.java
@@ -8,21 +8,22 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The other routers that this one knows, with the newest claim about each. */
+/** The other routers known to this one, with the newest claim about each. */
 final class MemberTable {
   /**
-   * Dead members are kept, so that an old claim cannot bring them back and a heal can find them.
+   * Dead members are kept this long: an outdated claim must not add them again as alive, and after
+   * a network partition heals, their addresses are pinged to find them.
    */
   private static final Duration DEAD_RETENTION = Duration.ofMinutes(10);
 
   private final Map<String, Entry> entries = new LinkedHashMap<>();
 
-  /** Made once a change, since each part of a search asks for it. */
+  /** Cached until the next change, since it is read for each part of a search. */
   private Optional<ImmutableList<MemberRecord>> reachable = Optional.empty();
 
   private record Entry(MemberRecord record, long sinceNanos) {}
 
-  /** Takes a claim; returns whether it changed the table. */
+  /** Merges a claim; returns whether it changed the table. */
   boolean merge(MemberRecord claim, long nowNanos) {
     Entry known = entries.get(claim.id());
     if (known != null && !claim.overrides(known.record())) {
@@ -41,7 +42,7 @@
     return entries.values().stream().map(Entry::record).collect(ImmutableList.toImmutableList());
   }
 
-  /** Members that are not known to be dead; the same list until one of them changes. */
+  /** Members that are not known to be dead; the same list instance until the table changes. */
   ImmutableList<MemberRecord> reachable() {
     if (reachable.isEmpty()) {
       reachable = Optional.of(collectReachable());
@@ -65,7 +66,7 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  /** Suspects whose time to refute is over. */
+  /** Suspects that have not refuted the suspicion within the timeout. */
   ImmutableList<MemberRecord> overdueSuspects(Duration timeToRefute, long nowNanos) {
     return entries.values().stream()
         .filter(entry -> entry.record().state() == State.SUSPECT)
--- a/arrowarch-core/src/main/java/io/arrowarch/core/membership/Membership.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/membership/Membership.java
@@ -24,12 +24,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which routers there are, after the SWIM protocol: each period one member is pinged, directly and
- * then through others; one that does not answer is suspected, and dead when it does not refute
- * that. News rides on pings and acks, so that the cost per node does not grow with the fleet.
+ * Group membership of the routers, after the SWIM protocol: in each period a router pings one
+ * member, first directly and then through others. A member that does not answer is suspected, and
+ * declared dead when it does not refute the suspicion in time. Gossip is piggybacked on pings and
+ * acks, so that the cost per router does not grow with the fleet.
  *
- * <p>Nothing that must hold depends on this view: it finds addresses and spreads news. The right to
- * serve is decided by {@code quorum}.
+ * <p>This view may be wrong, and no safety property depends on it: it serves to find addresses and
+ * to spread gossip. Whether a router may serve is decided by {@code quorum}.
  */
 public final class Membership {
   static final Duration PERIOD = Duration.ofSeconds(1);
@@ -37,12 +38,13 @@
   private static final Duration DIRECT_ACK_TIMEOUT = Duration.ofMillis(400);
   private static final int INDIRECT_PINGS = 2;
 
-  /** Records of members a message; with the rest of it they fit a datagram. */
+  /** Member records per message; with its other fields, the message then fits a datagram. */
   private static final int NEWS_PER_MESSAGE = 6;
 
   /**
-   * Pings are numbered from anywhere below this, so that an ack to an earlier life of the router is
-   * not taken for one to a later ping, which it would date too late.
+   * The first ping of an incarnation has a random number below this bound. Otherwise an ack to an
+   * earlier incarnation could match a later ping, and its contents would be taken to be newer than
+   * they are.
    */
   private static final long HIGHEST_FIRST_NUMBER = 1L << 40;
 
@@ -50,8 +52,8 @@
   private static final int DRAINS_PER_MESSAGE = 8;
 
   /**
-   * When a router that has just started asks one more for the members that it knows, after its
-   * start. All may have started at once and know few at first.
+   * Times after its start at which a router asks one random router for its members again. When all
+   * routers start at once, the first that it asks know few members.
    */
   private static final ImmutableList<Duration> JOIN_TIMES =
       ImmutableList.of(
@@ -60,7 +62,7 @@
           Duration.ofMillis(1_500),
           Duration.ofMillis(3_000));
 
-  /** One period in this many also pings an address that is not known to be alive. */
+  /** Every so many periods, one address that is not known to be reachable is pinged as well. */
   private static final int PERIODS_PER_REJOIN_PING = 5;
 
   private final RouterClock clock;
@@ -82,16 +84,17 @@
   /** A ping that has not been answered. */
   private record Pinged(long sentNanos, Runnable onAck) {}
 
-  /** Supplies what rides on every message beside members and drains. */
+  /** Supplies the gossip of each ping and ack besides members and drains. */
   public interface NewsSource {
-    /** News without members and drains. */
+    /** Returns news whose lists of members and drains are not used. */
     PeerBody.News configurationNews();
   }
 
   /**
-   * Creates the view of one router.
+   * Creates the membership view of one router.
    *
-   * @param contacts peer addresses from the settings, tried until members are known
+   * @param self the record of this router
+   * @param contacts peer addresses from the settings, through which the first members are found
    */
   public Membership(
       MemberRecord self,
@@ -111,7 +114,7 @@
     addContacts(contacts);
   }
 
-  /** Pings every contact and starts the periods. */
+  /** Pings every contact and starts the periodic pings. */
   public void start() {
     contactAddresses.forEach(this::askForMembers);
     for (Duration time : JOIN_TIMES) {
@@ -128,25 +131,25 @@
     }
   }
 
-  /** Pings itself, so that what messages need is loaded. */
+  /** Pings this router itself, so that the classes that messages need are loaded. */
   public void rehearse() {
     askForMembers(self.address());
   }
 
-  /** Adds addresses to try, for example from the platform's list. */
+  /** Adds contact addresses, for example from the platform's list of machines. */
   public void addContacts(List<String> addresses) {
     contactAddresses.addAll(addresses);
     contactAddresses.remove(self.address());
   }
 
-  /** Tells the others that this router is stopping. */
+  /** Announces to the other routers that this one is shutting down. */
   public void leave() {
     self = self.refuted(self.sequence() + 1, State.LEAVING);
     memberRumours.add(self.id(), self);
     reachable().forEach(member -> ping(member.address(), () -> {}));
   }
 
-  /** Passes on that an incarnation of a back end is leaving. */
+  /** Spreads the news that an incarnation of a back end is draining. */
   public void tellDrain(DrainMark mark) {
     drainRumours.add(mark, mark);
   }
@@ -156,44 +159,49 @@
     return self;
   }
 
-  /** Whether a later incarnation of this router is known, so that this one must not serve. */
+  /** Whether a later incarnation of this router is known; this one must then not serve. */
   public boolean isSuperseded() {
     return superseded;
   }
 
-  /** All others, dead ones included. */
+  /** All other known routers, dead ones included. */
   public ImmutableList<MemberRecord> members() {
     return table.all();
   }
 
-  /** The others that are not known to be dead. */
+  /** The other routers that are not known to be dead. */
   public ImmutableList<MemberRecord> reachable() {
     return table.reachable();
   }
 
-  /** The newest claim about one router. */
+  /** The newest claim about one router, which may be this one. */
   public Optional<MemberRecord> find(String id) {
     return id.equals(self.id()) ? Optional.of(self) : table.find(id);
   }
 
-  /** A few random reachable members, for pushing news. */
+  /** At most {@code size} random reachable members. */
   public ImmutableList<MemberRecord> sample(int size) {
     List<MemberRecord> shuffled = new ArrayList<>(reachable());
     shuffle(shuffled);
     return ImmutableList.copyOf(shuffled.subList(0, Math.min(size, shuffled.size())));
   }
 
-  /** Sends a body under this router's name. */
+  /** Sends a message from this router to a peer address. */
   public void send(String address, PeerBody body) {
     transport.send(address, new PeerMessage(self, body));
   }
 
-  /** Learns of the sender of any message. Must be called for each before its body is handled. */
+  /** Merges the sender's record. Must be called for each message before its body is handled. */
   public void onSender(MemberRecord sender) {
     learn(sender);
   }
 
-  /** Handles a ping; a joiner or a member back from the dead is told of everyone. */
+  /**
+   * Handles a ping. A joining router gets a bulk list of members.
+   *
+   * @param wasKnown the result of {@link #isKnown} before {@link #onSender}; a router that was
+   *     unknown or dead is treated as joining
+   */
   public void onPing(MemberRecord sender, PeerBody.Ping ping, boolean wasKnown) {
     learnNews(ping.news());
     boolean joins = ping.joining() || !wasKnown;
@@ -202,10 +210,10 @@
   }
 
   /**
-   * Handles an ack to a ping of this router, or one passed on by another.
+   * Handles an ack to a ping of this router, whether direct or through another router.
    *
-   * @return when the ping was sent, which is before the ack was; empty when it is not known any
-   *     more
+   * @return when the ping was sent, so that the contents of the ack are not older than this by this
+   *     router's monotonic clock, in nanoseconds; empty when the ping is no longer pending
    */
   public Optional<Long> onAck(PeerBody.Ack ack) {
     learnNews(ack.news());
@@ -214,14 +222,14 @@
     return answered.map(Pinged::sentNanos);
   }
 
-  /** Pings a target for another router and passes the ack on. */
+  /** Pings a target for another router, and answers that router when the target has. */
   public void onPingRequest(MemberRecord sender, PeerBody.PingRequest request) {
     ping(
         request.targetAddress(),
         () -> send(sender.address(), new PeerBody.Ack(request.number(), news(NEWS_PER_MESSAGE))));
   }
 
-  /** Whether the sender was known and not dead, before {@link #onSender} is called for it. */
+  /** Whether a sender is known and not dead; to be called before {@link #onSender}. */
   public boolean isKnown(MemberRecord sender) {
     return table.find(sender.id()).filter(known -> known.state() != State.DEAD).isPresent();
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/membership/RumourQueue.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/membership/RumourQueue.java
@@ -6,10 +6,11 @@
 import java.util.Map;
 
 /**
- * News to pass on, each a limited number of times, the least told first.
+ * Gossip to send: each item is sent a limited number of times, the least sent first. The limit
+ * grows with the logarithm of the number of members.
  *
- * @param <K> what the news is about; newer news replaces older of the same key
- * @param <T> the news
+ * @param <K> the subject of an item; a newer item replaces an older one of the same key
+ * @param <T> the item
  */
 final class RumourQueue<K, T> {
   private static final int TRANSMISSIONS_PER_DOUBLING = 3;
@@ -30,9 +31,10 @@
   }
 
   /**
-   * Takes news for one message.
+   * Takes the items for one message.
    *
-   * @param members size of the membership, which decides how often each piece is passed on
+   * @param maximum the number of items at most
+   * @param members number of members, from which the limit of transmissions per item follows
    */
   ImmutableList<T> take(int maximum, int members) {
     int transmissionLimit =
--- a/arrowarch-core/src/main/java/io/arrowarch/core/once/Ticket.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/once/Ticket.java
@@ -5,17 +5,18 @@
 import java.util.regex.Pattern;
 
 /**
- * The right to have one non-repeatable request run, redeemable at one incarnation of one node.
+ * Permits one non-repeatable request to run, at one incarnation of one node. The text form is
+ * {@code NODE~INCARNATION~NUMBER}.
  *
  * @param nodeId the node that issued it
  * @param incarnation the incarnation of that node
- * @param number unique within the incarnation, rising
+ * @param number unique within the incarnation; later tickets have higher numbers
  */
 public record Ticket(String nodeId, long incarnation, long number) {
   private static final Pattern FORM =
       Pattern.compile("([A-Za-z0-9._-]{1,63})~([0-9]{1,18})~([0-9]{1,18})");
 
-  /** Parses the form of {@link #toString}. */
+  /** Parses the text form; empty when it is malformed. */
   public static Optional<Ticket> parse(String text) {
     Matcher matcher = FORM.matcher(text);
     if (!matcher.matches()) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/once/TicketRegistry.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/once/TicketRegistry.java
@@ -12,17 +12,20 @@
 import java.util.function.Consumer;
 
 /**
- * Holds non-repeatable requests to at most one execution.
+ * Ensures that a non-repeatable request is executed at most once.
  *
- * <p>A ticket is redeemable only at the incarnation that issued it, so that no agreement between
- * nodes is needed: a resend that arrives anywhere else is never run. Within the incarnation the
- * first request with a ticket runs; a resend gets the same outcome. The ticket of a request that is
+ * <p>A ticket can be redeemed only at the incarnation that issued it: a duplicate that arrives
+ * anywhere else is never run, so that nodes need no agreement. Within the incarnation, the first
+ * request with a ticket runs and a duplicate gets the same outcome. The ticket of a request that is
  * proven not to have run can be used again.
  *
  * @param <O> the outcome type
  */
 public final class TicketRegistry<O> {
-  /** Records kept; tickets numbered below the oldest dropped one are refused as expired. */
+  /**
+   * Number of redemptions kept. Beyond it the oldest is dropped, and its ticket and all with lower
+   * numbers are refused as expired.
+   */
   static final int MAXIMUM_RECORDS = 100_000;
 
   private final String nodeId;
@@ -37,7 +40,7 @@
     this.incarnation = incarnation;
   }
 
-  /** A fresh ticket. */
+  /** Issues a new ticket. */
   public Ticket issue() {
     return new Ticket(nodeId, incarnation, nextNumber++);
   }
@@ -45,10 +48,11 @@
   /**
    * Redeems a ticket.
    *
-   * @param fingerprint identifies the request, so that a ticket cannot serve two different ones
-   * @param onOutcome told the outcome of the earlier request when this is a resend
-   * @return the redemption to complete when the caller must run the request; empty when it is a
-   *     resend; an error when the ticket cannot be redeemed here
+   * @param fingerprint identifies the request, so that a ticket cannot be used for two different
+   *     ones
+   * @param onOutcome receives the outcome of the earlier request when this one is a duplicate
+   * @return the redemption to complete, when the caller must run the request; empty when it is a
+   *     duplicate; an error when the ticket cannot be redeemed here
    */
   public Either<QueryError, Optional<Redemption<O>>> redeem(
       Ticket ticket, String fingerprint, Consumer<O> onOutcome) {
@@ -59,20 +63,23 @@
               + ticket.incarnation()
               + " of node "
               + ticket.nodeId()
-              + " and is redeemable there alone");
+              + " and can be redeemed only there");
     }
     if (ticket.number() >= nextNumber) {
-      return refuse(ErrorKind.MALFORMED_REQUEST, "this node never issued the ticket");
+      return refuse(ErrorKind.MALFORMED_REQUEST, "this node has not issued the ticket");
     }
     if (ticket.number() < lowestRedeemable) {
-      return refuse(ErrorKind.TICKET_EXPIRED, "the record of this ticket is gone");
+      return refuse(
+          ErrorKind.TICKET_EXPIRED,
+          "the ticket has expired: the record of its use is no longer kept");
     }
     Redemption<O> earlier = redemptions.get(ticket.number());
     if (earlier == null) {
       return Either.right(Optional.of(begin(ticket.number(), fingerprint)));
     }
     if (!earlier.fingerprint.equals(fingerprint)) {
-      return refuse(ErrorKind.TICKET_MISMATCH, "the ticket was redeemed with another request");
+      return refuse(
+          ErrorKind.TICKET_MISMATCH, "the ticket has already been redeemed with another request");
     }
     earlier.onOutcome(onOutcome);
     return Either.right(Optional.empty());
@@ -120,9 +127,9 @@
   }
 
   /**
-   * Records the outcome of a request that the caller ran, and tells every resend.
+   * Records the outcome of a request that the caller ran, and passes it to every duplicate.
    *
-   * @param executed {@link Executed#NO} frees the ticket for another try
+   * @param executed {@link Executed#NO} lets the ticket be used again
    */
   public void complete(Redemption<O> redemption, O outcome, Executed executed) {
     redemption.outcome = Optional.of(outcome);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/DrainMark.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/DrainMark.java
@@ -1,4 +1,8 @@
 package io.arrowarch.core.peer;
 
-/** News that an incarnation of a back end is leaving. */
+/**
+ * States that one incarnation of a back end is draining.
+ *
+ * @param backend id of the back end
+ */
 public record DrainMark(String backend, String incarnation) {}
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/MemberRecord.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/MemberRecord.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * What is claimed of one router.
+ * A claim about one router: its address and its state in the membership.
  *
  * @param id configured name
  * @param zone where it runs
- * @param address IP number and port for peers
- * @param cores how much processor it has, in cores; 0 when it does not say
- * @param incarnation differs after every restart, and rises
+ * @param address IP address and port for messages from other routers
+ * @param cores processor capacity, in cores; 0 when unknown
+ * @param incarnation rises with every restart
  * @param sequence raised by the router itself to refute a wrong claim about this incarnation
  */
 public record MemberRecord(
@@ -21,12 +21,12 @@
     long sequence,
     State state) {
 
-  /** In the order in which claims of the same sequence override each other. */
+  /** Declared in order of precedence: among claims with the same sequence, the later overrides. */
   public enum State {
     /** Answers pings. */
     @JsonProperty("alive")
     ALIVE,
-    /** Is stopping as planned. */
+    /** Is shutting down. */
     @JsonProperty("leaving")
     LEAVING,
     /** Did not answer a ping. */
@@ -37,7 +37,10 @@
     DEAD
   }
 
-  /** Whether this claim overrides another about the same router. */
+  /**
+   * Whether this claim overrides another about the same router: by incarnation, then by sequence,
+   * then by state.
+   */
   public boolean overrides(MemberRecord other) {
     if (incarnation != other.incarnation) {
       return incarnation > other.incarnation;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/NearbyRouter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/NearbyRouter.java
@@ -1,11 +1,11 @@
 package io.arrowarch.core.peer;
 
 /**
- * Another router that answers.
+ * Another router, of any zone, that is alive.
  *
- * @param incarnation differs after every restart
- * @param address IP:PORT for peers
- * @param cores how much processor it has, in cores; 0 when it does not say
+ * @param incarnation rises with every restart
+ * @param address IP:PORT for messages from other routers
+ * @param cores processor capacity, in cores; 0 when unknown
  */
 public record NearbyRouter(
     String id, long incarnation, String zone, String address, double cores) {}
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerBody.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerBody.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The bodies of {@link PeerMessage}. */
+/** The body of a {@link PeerMessage}, one record per message type. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = PeerBody.Ping.class, name = "ping"),
@@ -28,13 +28,14 @@
 public sealed interface PeerBody {
 
   /**
-   * News that rides on pings and acks.
+   * Gossip that is piggybacked on pings and acks.
    *
    * @param inForce the configuration that the sender holds
    * @param accepted the newest configuration that the sender knows to be accepted
-   * @param store what the sender knows of the platform's store; {@link StoreNews#NONE} where it
-   *     follows none
-   * @param bulk whether the members are a joiner's first list rather than news to pass on
+   * @param store the state of the sender's view of the platform's store; {@link StoreNews#NONE}
+   *     where it follows none
+   * @param bulk whether the members are a first list for a joining router; the receiver does not
+   *     pass such a list on
    */
   record News(
       ConfigurationId inForce,
@@ -50,23 +51,25 @@
   }
 
   /**
-   * Asks whether a router is there.
+   * Asks whether a router is alive.
    *
-   * @param joining whether the sender has just started and wants to be told of many members
+   * @param number returned in the ack
+   * @param joining whether the sender has recently started and asks for a bulk list of members
    */
   record Ping(long number, boolean joining, News news) implements PeerBody {}
 
-  /** Answers a ping, or passes on that the target of a {@link PingRequest} answered one. */
+  /** Answers a {@link Ping}, or a {@link PingRequest} whose target has answered. */
   record Ack(long number, News news) implements PeerBody {}
 
-  /** Asks a third router to ping the target and to pass its ack on. */
+  /** Asks another router to ping the target and to answer when the target has. */
   record PingRequest(long number, String targetAddress) implements PeerBody {}
 
   /**
-   * Tells the router that counts some tenants how much they have used at the sender.
+   * Reports the usage of tenants at the sender to the router that counts these tenants.
    *
-   * @param number rises with each message of one incarnation; repeated in the verdict
-   * @param asks the tenant of which one more request wants to run; empty: of none
+   * @param number rises with each message of one incarnation; returned in the verdict
+   * @param asks the tenant for which the sender asks whether one more request may run; empty for
+   *     none
    */
   record TenantUse(long number, List<Use> uses, String asks) implements PeerBody {
     public TenantUse {
@@ -75,9 +78,9 @@
   }
 
   /**
-   * What one tenant has used at one router.
+   * The usage of one tenant at one router.
    *
-   * @param total requests that ran or will, since the router's start
+   * @param total requests admitted since the start of the router
    * @param unacknowledged how many of them no counting router has acknowledged
    */
   record Use(String tenant, long total, long unacknowledged) {}
@@ -86,9 +89,9 @@
    * Answers a {@link TenantUse}.
    *
    * @param granted whether the request that was asked for may run
-   * @param retryAfterMillis when it would be within the limit, if it may not
-   * @param refusedMillis for how long every request of that tenant would be beyond it
-   * @param limits of the tenants that were named, those near their limits
+   * @param retryAfterMillis after how long it would be within the limit, if it may not run
+   * @param refusedMillis for how long every request of that tenant exceeds the limit
+   * @param limits those of the reported tenants that are near their limits
    */
   record TenantVerdict(
       long number, boolean granted, long retryAfterMillis, long refusedMillis, List<Limited> limits)
@@ -98,13 +101,18 @@
     }
   }
 
-  /** A tenant is near its limit: each of its requests is to be asked for, for so long. */
+  /**
+   * A tenant that is near its limit.
+   *
+   * @param askMillis for how long a router must ask the counting router before it runs a request of
+   *     this tenant
+   */
   record Limited(String tenant, long askMillis) {}
 
   /**
-   * Tells of tenants near their limits.
+   * Lists tenants that are near their limits.
    *
-   * @param passOn whether the receiver passes it on to the routers of its zone
+   * @param passOn whether the receiver forwards it to the routers of its zone
    */
   record TenantNotice(List<Limited> limits, boolean passOn) implements PeerBody {
     public TenantNotice {
@@ -112,7 +120,7 @@
     }
   }
 
-  /** Tells of requests under which servers have ended, and of those that were cleared. */
+  /** Reports requests that servers crashed while running, and requests that were cleared. */
   record SuspectNotice(List<SuspectReport> reports) implements PeerBody {
     public SuspectNotice {
       reports = ImmutableList.copyOf(reports);
@@ -122,10 +130,10 @@
   /**
    * What the sender knows of one request.
    *
-   * @param request hash by which it is known again
+   * @param request hash that identifies the request when it is sent again
    * @param kind ends, quarantine or clearance
-   * @param servers that have ended under it; no more than make it suspected
-   * @param ageMillis how long ago the newest of this happened
+   * @param servers that crashed while running it; at most as many as make it suspected
+   * @param ageMillis time since the newest of these crashes, or since the quarantine or clearance
    */
   record SuspectReport(String request, String kind, List<String> servers, long ageMillis) {
     public SuspectReport {
@@ -133,13 +141,15 @@
     }
   }
 
-  /** Asks for all that is held against requests; answered by {@link SuspectNotice}. */
+  /**
+   * Asks for all that the receiver knows of suspected requests; answered by {@link SuspectNotice}.
+   */
   record SuspectQuestion() implements PeerBody {}
 
   /**
    * Asks a voter what configuration it holds.
    *
-   * @param round repeated in the reply
+   * @param round returned in the reply
    * @param recovering whether the asker is a voter that may not vote yet
    * @param held what the asker holds
    */
@@ -148,12 +158,15 @@
   /**
    * A voter's answer.
    *
-   * @param askerIncarnation whose round it answers; a later incarnation numbers its rounds anew
-   * @param voting whether it has recovered what earlier incarnations held and may be counted
-   * @param held what it holds; never goes back within an incarnation
+   * @param askerIncarnation incarnation of the asker that sent the request; each incarnation
+   *     numbers its rounds anew
+   * @param voting whether it has recovered the configuration that its earlier incarnations held, so
+   *     that its vote counts
+   * @param held the configuration it holds; never an older one than before within an incarnation
+   * @param accepted the newest configuration that it knows to be accepted
    * @param superseded whether it knows a later incarnation of the asker
-   * @param incarnations the newest incarnations of voters that it knows; only for an asker that
-   *     recovers
+   * @param incarnations the newest incarnations of voters that it knows, by voter id; empty unless
+   *     the asker is recovering
    */
   record ConfirmReply(
       long askerIncarnation,
@@ -169,7 +182,7 @@
     }
   }
 
-  /** Tells of a configuration that the receiver may want to ask for. */
+  /** Announces the configuration that the sender holds, so that the receiver can ask for it. */
   record VersionNotice(ConfigurationId inForce) implements PeerBody {}
 
   /** Asks for the configuration that the receiver holds. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerGroup.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerGroup.java
@@ -2,15 +2,15 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** The other routers, as those that exchange messages with them need them. */
+/** Finds the other routers and sends messages to them. */
 public interface PeerGroup {
-  /** The others that answer; the same list until one of them changes. */
+  /** The other routers that are alive; the same list instance until one of them changes. */
   ImmutableList<NearbyRouter> nearby();
 
-  /** Sends a message, without any promise of delivery. */
+  /** Sends a message to the peer address of a router; it may be lost. */
   void send(String address, PeerBody body);
 
-  /** Of a router that is alone. */
+  /** The group of a router that has no others. */
   PeerGroup NONE =
       new PeerGroup() {
         @Override
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerMessage.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerMessage.java
@@ -3,9 +3,9 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * What routers send each other: one-way, may be lost, repeated or reordered.
+ * A one-way message between routers; it may be lost, duplicated or reordered.
  *
- * @param sender the record of the sender itself, whose address is where to reply
+ * @param sender the sender's record of itself; replies go to its address
  */
 public record PeerMessage(MemberRecord sender, PeerBody body) {
   public PeerMessage {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerTransport.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerTransport.java
@@ -1,6 +1,6 @@
 package io.arrowarch.core.peer;
 
-/** Carries messages to other routers, without any promise of delivery. */
+/** Sends messages to other routers; they may be lost. */
 public interface PeerTransport {
   /** Sends a message to a router's peer address. */
   void send(String address, PeerMessage message);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/selector/DayWindow.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/selector/DayWindow.java
@@ -10,10 +10,9 @@
 /**
  * A daily window of local time, for example {@code 06:00-22:00 America/Recife}.
  *
- * <p>The start is in the window and the end is not. A window whose end is before its start wraps
- * midnight. The local time of the named zone decides, so that across a daylight saving change the
- * window follows the clock on the wall: a skipped hour is not in it and a repeated hour is in it
- * twice.
+ * <p>The start is inclusive and the end is exclusive. A window whose end is before its start spans
+ * midnight. The window follows the local time of its time zone: at a change of daylight saving
+ * time, an hour that is skipped is never in it, and an hour that is repeated is in it both times.
  */
 public final class DayWindow {
   private static final Pattern FORM =
@@ -35,7 +34,7 @@
   /**
    * Parses a window.
    *
-   * @throws IllegalArgumentException when the form, a time or the time zone is not valid
+   * @throws IllegalArgumentException when the format, a time or the time zone is invalid
    */
   public static DayWindow parse(String text) {
     Matcher matcher = FORM.matcher(text);
@@ -57,7 +56,7 @@
     }
   }
 
-  /** Whether the window is open at this instant. */
+  /** Whether the instant is in the window. */
   public boolean contains(Instant instant) {
     LocalTime local = instant.atZone(zone).toLocalTime();
     if (start.isBefore(end)) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/selector/LabelSelector.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/selector/LabelSelector.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A conjunction of {@link LabelRequirement}s over the labels of a back end. */
+/** Selects back ends by their labels, which must meet every {@link LabelRequirement}. */
 public final class LabelSelector {
   private final String text;
   private final ImmutableList<LabelRequirement> requirements;
@@ -28,7 +28,7 @@
     return new LabelSelector(text, requirements.build());
   }
 
-  /** The first requirement that the labels do not meet, or empty when all are met. */
+  /** The first requirement that the labels do not meet; empty when they meet all. */
   public Optional<LabelRequirement> firstUnmet(Map<String, String> labels) {
     return requirements.stream().filter(requirement -> !requirement.matches(labels)).findFirst();
   }
