--- a/arrowarch-core/src/main/java/io/arrowarch/core/event/RouterEvent.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/event/RouterEvent.java
@@ -283,11 +283,11 @@
    */
   record EntryMalformed(String key, StoreRevision revision, String fault) implements RouterEvent {
     /** Keys are written by other systems and may be of any length. */
-    private static final int LONGEST_KEY = 120;
+    private static final int MAXIMUM_KEY_CHARS = 120;
 
     /** Truncates the key. */
     public EntryMalformed {
-      key = key.length() > LONGEST_KEY ? key.substring(0, LONGEST_KEY) : key;
+      key = key.length() > MAXIMUM_KEY_CHARS ? key.substring(0, MAXIMUM_KEY_CHARS) : key;
     }
 
     @Override
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateChooser.java
@@ -1,7 +1,7 @@
 package io.arrowarch.core.forward;
 
 import com.google.common.collect.ImmutableList;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.route.Route;
 import java.time.Duration;
 import java.util.HashMap;
@@ -32,11 +32,11 @@
   private final SearchLayout layout;
   private final Gatherers gatherers;
   private final RandomGenerator random;
-  private final Map<NearbyRouter, DelegateState> states = new HashMap<>();
-  private ImmutableList<NearbyRouter> known = ImmutableList.of();
+  private final Map<LiveRouter, DelegateState> states = new HashMap<>();
+  private ImmutableList<LiveRouter> known = ImmutableList.of();
 
   /** A router and what to hand to it. */
-  record Choice(NearbyRouter delegate, ImmutableList<String> shards) {}
+  record Choice(LiveRouter delegate, ImmutableList<String> shards) {}
 
   DelegateChooser(
       ForwardOptions options,
@@ -52,7 +52,7 @@
   }
 
   /** What is known of a router. */
-  DelegateState state(NearbyRouter router) {
+  DelegateState state(LiveRouter router) {
     return states.computeIfAbsent(router, added -> new DelegateState());
   }
 
@@ -71,31 +71,31 @@
   }
 
   private void forgetLeft() {
-    ImmutableList<NearbyRouter> now = routers.nearby();
+    ImmutableList<LiveRouter> now = routers.liveRouters();
     if (!now.equals(known)) {
       known = now;
-      Set<NearbyRouter> left = new HashSet<>(now);
+      Set<LiveRouter> left = new HashSet<>(now);
       states.keySet().removeIf(router -> !left.contains(router));
     }
   }
 
-  private Optional<NearbyRouter> delegate(ImmutableList<String> group, Route route, long nowNanos) {
+  private Optional<LiveRouter> delegate(ImmutableList<String> group, Route route, long nowNanos) {
     Gatherers.Choice choice = gatherers.of(group);
     if (choice.ownRole() == Gatherers.OwnRole.FIRST) {
       return Optional.empty();
     }
-    Optional<NearbyRouter> first = leastLoaded(choice.first(), route, nowNanos);
+    Optional<LiveRouter> first = leastLoaded(choice.first(), route, nowNanos);
     if (first.isPresent() || choice.ownRole() == Gatherers.OwnRole.RESERVE) {
       return first;
     }
     return leastLoaded(choice.reserve(), route, nowNanos);
   }
 
-  private Optional<NearbyRouter> leastLoaded(
-      List<NearbyRouter> candidates, Route route, long nowNanos) {
-    Optional<NearbyRouter> best = Optional.empty();
+  private Optional<LiveRouter> leastLoaded(
+      List<LiveRouter> candidates, Route route, long nowNanos) {
+    Optional<LiveRouter> best = Optional.empty();
     double least = Double.MAX_VALUE;
-    for (NearbyRouter router : candidates) {
+    for (LiveRouter router : candidates) {
       DelegateState state = state(router);
       double load = state.load() + random.nextDouble();
       boolean allowed = options.allows(route.regions(), router.zone());
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateTransport.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateTransport.java
@@ -1,6 +1,6 @@
 package io.arrowarch.core.forward;
 
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 
 /** Hands searches to other routers. Outcomes go to {@link ForwardCoordinator}. */
 public interface DelegateTransport {
@@ -8,14 +8,14 @@
   DelegateTransport NONE =
       new DelegateTransport() {
         @Override
-        public void send(long number, NearbyRouter delegate, DelegatedSearch search) {}
+        public void send(long number, LiveRouter delegate, DelegatedSearch search) {}
 
         @Override
         public void cancel(long number) {}
       };
 
   /** Sends a search; its end is told once, never before this method returns. */
-  void send(long number, NearbyRouter delegate, DelegatedSearch search);
+  void send(long number, LiveRouter delegate, DelegatedSearch search);
 
   /** Makes the other router stop; nothing is told of the search any more. */
   void cancel(long number);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardingRouter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardingRouter.java
@@ -155,7 +155,7 @@
    * public routes.
    */
   private boolean isWorseThanOthers() {
-    return coordinator.refusesApiKeys() && group.hasOthers() && group.nearby().isEmpty();
+    return coordinator.refusesApiKeys() && group.hasOthers() && group.liveRouters().isEmpty();
   }
 
   /** A planned stop begins: not ready from now on, but requests are still taken. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
@@ -1,7 +1,7 @@
 package io.arrowarch.core.forward;
 
 import com.google.common.collect.ImmutableList;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.time.RouterClock;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -52,8 +52,8 @@
    * @param sharing how many gatherers of first rank there are in all zones
    */
   record Choice(
-      ImmutableList<NearbyRouter> first,
-      ImmutableList<NearbyRouter> reserve,
+      ImmutableList<LiveRouter> first,
+      ImmutableList<LiveRouter> reserve,
       OwnRole ownRole,
       int sharing) {}
 
@@ -99,21 +99,21 @@
   }
 
   private Choice choose(ImmutableList<String> group, long nowNanos) {
-    Map<String, List<NearbyRouter>> byZone = routersByZone();
+    Map<String, List<LiveRouter>> byZone = routersByZone();
     boolean blind = coverage.known(group, nowNanos) < LEAST_KNOWN;
     List<String> zones =
         blind ? ImmutableList.copyOf(byZone.keySet()) : zonesNearServers(group, byZone, nowNanos);
     double largest = largest(zones, byZone);
     int allowed = Math.max(1, layout.gatherersAllowed(group.get(0)) / zones.size());
     boolean near = !blind && zones.contains(options.zone());
-    List<NearbyRouter> first = new ArrayList<>();
-    List<NearbyRouter> reserve = new ArrayList<>();
+    List<LiveRouter> first = new ArrayList<>();
+    List<LiveRouter> reserve = new ArrayList<>();
     OwnRole ownRole = OwnRole.NONE;
     int sharing = 0;
     for (String zone : zones) {
-      ImmutableList<NearbyRouter> ranked = ShardGroups.ranked(group, byZone.get(zone));
+      ImmutableList<LiveRouter> ranked = ShardGroups.ranked(group, byZone.get(zone));
       boolean usedFromHere = !near || zone.equals(options.zone());
-      for (NearbyRouter router : ranked.subList(0, Math.min(allowed, ranked.size()))) {
+      for (LiveRouter router : ranked.subList(0, Math.min(allowed, ranked.size()))) {
         boolean isFirst = router.cores() >= NEARLY_LARGEST * largest;
         sharing += isFirst ? 1 : 0;
         if (router.id().equals(options.id())) {
@@ -130,22 +130,22 @@
         ImmutableList.copyOf(first), ImmutableList.copyOf(reserve), ownRole, Math.max(1, sharing));
   }
 
-  private Map<String, List<NearbyRouter>> routersByZone() {
-    Map<String, List<NearbyRouter>> byZone = new HashMap<>();
-    for (NearbyRouter router : routers.nearby()) {
+  private Map<String, List<LiveRouter>> routersByZone() {
+    Map<String, List<LiveRouter>> byZone = new HashMap<>();
+    for (LiveRouter router : routers.liveRouters()) {
       byZone.computeIfAbsent(router.zone(), zone -> new ArrayList<>()).add(router);
     }
     byZone.computeIfAbsent(options.zone(), zone -> new ArrayList<>()).add(self());
     return byZone;
   }
 
-  private NearbyRouter self() {
-    return new NearbyRouter(options.id(), 0, options.zone(), "", options.cores());
+  private LiveRouter self() {
+    return new LiveRouter(options.id(), 0, options.zone(), "", options.cores());
   }
 
   /** Zones with routers in which about as many of the shards have a server as in any. */
   private List<String> zonesNearServers(
-      ImmutableList<String> group, Map<String, List<NearbyRouter>> byZone, long nowNanos) {
+      ImmutableList<String> group, Map<String, List<LiveRouter>> byZone, long nowNanos) {
     Map<String, Double> shares = new HashMap<>();
     double best = 0;
     for (String zone : byZone.keySet()) {
@@ -162,10 +162,10 @@
     return near;
   }
 
-  private static double largest(List<String> zones, Map<String, List<NearbyRouter>> byZone) {
+  private static double largest(List<String> zones, Map<String, List<LiveRouter>> byZone) {
     double largest = 0;
     for (String zone : zones) {
-      for (NearbyRouter router : byZone.get(zone)) {
+      for (LiveRouter router : byZone.get(zone)) {
         largest = Math.max(largest, router.cores());
       }
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Lookouts.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Lookouts.java
@@ -4,7 +4,7 @@
 import com.google.common.hash.HashFunction;
 import com.google.common.hash.Hashing;
 import io.arrowarch.core.feed.FeedSource;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.time.RouterClock;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -39,7 +39,7 @@
   private final RouterClock clock;
   private final long ownWeight;
   private final Map<String, Long> failedNanos = new HashMap<>();
-  private ImmutableList<NearbyRouter> madeFrom = ImmutableList.of();
+  private ImmutableList<LiveRouter> madeFrom = ImmutableList.of();
   private Optional<View> made = Optional.empty();
   private int askedAtStart;
   private int askedAfterGap;
@@ -111,9 +111,9 @@
   /** What follows from the routers that are known; made once for each change of them. */
   @SuppressWarnings("ReferenceEquality")
   private View view() {
-    ImmutableList<NearbyRouter> nearby = routers.nearby();
-    if (made.isEmpty() || nearby != madeFrom) {
-      madeFrom = nearby;
+    ImmutableList<LiveRouter> liveRouters = routers.liveRouters();
+    if (made.isEmpty() || liveRouters != madeFrom) {
+      madeFrom = liveRouters;
       made = Optional.of(makeView());
     }
     return made.get();
@@ -121,7 +121,7 @@
 
   private View makeView() {
     List<Ranked> others = new ArrayList<>();
-    for (NearbyRouter router : othersOfGroup()) {
+    for (LiveRouter router : othersOfGroup()) {
       others.add(new Ranked(router.address(), weight(router.id())));
     }
     int ofGroup = others.size() + 1;
@@ -158,15 +158,15 @@
    * The routers that share lookouts with this one: those of its zone; where that is small and each
    * view must be fresh, all, since each small zone would need lookouts of its own.
    */
-  private List<NearbyRouter> othersOfGroup() {
-    List<NearbyRouter> ofZone = new ArrayList<>();
-    for (NearbyRouter router : routers.nearby()) {
+  private List<LiveRouter> othersOfGroup() {
+    List<LiveRouter> ofZone = new ArrayList<>();
+    for (LiveRouter router : routers.liveRouters()) {
       if (router.zone().equals(options.zone())) {
         ofZone.add(router);
       }
     }
     boolean small = ofZone.size() + 1 < LARGE_ZONE;
-    return small && options.store().everyView() ? new ArrayList<>(routers.nearby()) : ofZone;
+    return small && options.store().everyView() ? new ArrayList<>(routers.liveRouters()) : ofZone;
   }
 
   @Override
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterGroup.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterGroup.java
@@ -1,7 +1,7 @@
 package io.arrowarch.core.forward;
 
 import com.google.common.collect.ImmutableList;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.PeerGroup;
 
 /** The routers that share servers and budgets, as one of them sees them. */
@@ -10,11 +10,11 @@
   int count();
 
   /** The others that answer; the same list until one of them changes. */
-  ImmutableList<NearbyRouter> nearby();
+  ImmutableList<LiveRouter> liveRouters();
 
   /** Whether there are others, or were lately, whether they answer or not. */
   default boolean hasOthers() {
-    return !nearby().isEmpty();
+    return !liveRouters().isEmpty();
   }
 
   /** Peer addresses of others that are there first, as settings say; none for one of these. */
@@ -41,7 +41,7 @@
       }
 
       @Override
-      public ImmutableList<NearbyRouter> nearby() {
+      public ImmutableList<LiveRouter> liveRouters() {
         return ImmutableList.of();
       }
     };
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterPeers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterPeers.java
@@ -6,8 +6,8 @@
 import io.arrowarch.core.event.RouterEvent;
 import io.arrowarch.core.membership.Membership;
 import io.arrowarch.core.peer.DrainMark;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.MemberRecord;
-import io.arrowarch.core.peer.NearbyRouter;
 import io.arrowarch.core.peer.PeerBody;
 import io.arrowarch.core.peer.PeerMessage;
 import io.arrowarch.core.peer.PeerTransport;
@@ -64,8 +64,8 @@
   private final Consumer<String> onDrain;
   private final StoreRevisions revisions;
   private final Consumer<PeerMessage> others;
-  private ImmutableList<MemberRecord> nearbyFrom = ImmutableList.of();
-  private ImmutableList<NearbyRouter> nearby = ImmutableList.of();
+  private ImmutableList<MemberRecord> liveRoutersSource = ImmutableList.of();
+  private ImmutableList<LiveRouter> liveRouters = ImmutableList.of();
   private int remembered;
   private long rememberedNanos;
 
@@ -116,8 +116,8 @@
   }
 
   /** Sends a message to itself, so that what messages need is loaded. */
-  public void rehearse() {
-    membership.rehearse();
+  public void pingSelf() {
+    membership.pingSelf();
   }
 
   /** Sends a message to another router, without any promise of delivery. */
@@ -131,8 +131,8 @@
   }
 
   /** Tells the others that a server is leaving. */
-  public void tellDrain(String serverId) {
-    membership.tellDrain(new DrainMark(serverId, serverId));
+  public void announceDrain(String serverId) {
+    membership.announceDrain(new DrainMark(serverId, serverId));
   }
 
   /**
@@ -168,13 +168,13 @@
   }
 
   /** The other routers that answer and are not stopping. */
-  public ImmutableList<NearbyRouter> nearby() {
+  public ImmutableList<LiveRouter> liveRouters() {
     ImmutableList<MemberRecord> reachable = membership.reachable();
-    if (!isSame(reachable, nearbyFrom)) {
-      nearbyFrom = reachable;
-      nearby = toNearby(reachable);
+    if (!isSame(reachable, liveRoutersSource)) {
+      liveRoutersSource = reachable;
+      liveRouters = toLiveRouters(reachable);
     }
-    return nearby;
+    return liveRouters;
   }
 
   /** Whether it is the very list: comparing its members would cost as much as making it anew. */
@@ -184,12 +184,12 @@
     return members == others;
   }
 
-  private static ImmutableList<NearbyRouter> toNearby(ImmutableList<MemberRecord> members) {
-    ImmutableList.Builder<NearbyRouter> routers = ImmutableList.builder();
+  private static ImmutableList<LiveRouter> toLiveRouters(ImmutableList<MemberRecord> members) {
+    ImmutableList.Builder<LiveRouter> routers = ImmutableList.builder();
     for (MemberRecord member : members) {
       if (member.state() == MemberRecord.State.ALIVE) {
         routers.add(
-            new NearbyRouter(
+            new LiveRouter(
                 member.id(),
                 member.incarnation(),
                 member.zone(),
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ShardGroups.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ShardGroups.java
@@ -4,7 +4,7 @@
 import com.google.common.collect.Lists;
 import com.google.common.hash.HashFunction;
 import com.google.common.hash.Hashing;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import java.nio.charset.StandardCharsets;
 import java.util.Comparator;
 import java.util.List;
@@ -28,11 +28,10 @@
   }
 
   /** Routers in the order in which they gather a group: larger machines first. */
-  static ImmutableList<NearbyRouter> ranked(
-      ImmutableList<String> group, List<NearbyRouter> routers) {
+  static ImmutableList<LiveRouter> ranked(ImmutableList<String> group, List<LiveRouter> routers) {
     return routers.stream()
         .sorted(
-            Comparator.comparingDouble(NearbyRouter::cores)
+            Comparator.comparingDouble(LiveRouter::cores)
                 .reversed()
                 .thenComparingLong(router -> weight(group.get(0), router.id())))
         .collect(ImmutableList.toImmutableList());
--- a/arrowarch-core/src/main/java/io/arrowarch/core/hedge/ExtraAttemptBudget.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/hedge/ExtraAttemptBudget.java
@@ -9,12 +9,12 @@
    * At low traffic, first attempts earn few tokens; this many let a query retry its shards when a
    * back end fails.
    */
-  private static final double BURST = 16;
+  private static final double MAXIMUM_TOKENS = 16;
 
   private static final double COST_AFTER_SHED = 3;
 
   private final double fraction;
-  private double tokens = BURST;
+  private double tokens = MAXIMUM_TOKENS;
 
   /**
    * Creates a full bucket.
@@ -27,7 +27,7 @@
 
   /** Counts a first attempt, which adds a fraction of a token. */
   public void onFirstAttempt() {
-    tokens = Math.min(BURST, tokens + fraction);
+    tokens = Math.min(MAXIMUM_TOKENS, tokens + fraction);
   }
 
   /** Withdraws a token for an extra attempt; returns false when there are too few. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/hedge/LatencyTracker.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/hedge/LatencyTracker.java
@@ -16,27 +16,27 @@
   private static final int MINIMUM_SAMPLES = 50;
 
   /** Quantiles are cached for this many samples, since computing one scans the whole histogram. */
-  private static final int SAMPLES_UNTIL_STALE = 64;
+  private static final int QUANTILE_CACHE_SAMPLES = 64;
 
   private Histogram current = new Histogram(MAXIMUM_MICROS, SIGNIFICANT_DIGITS);
   private Histogram previous = new Histogram(MAXIMUM_MICROS, SIGNIFICANT_DIGITS);
   private long windowStartNanos;
-  private final Map<Double, Long> quantiles = new HashMap<>();
-  private int samplesSinceQuantiles;
+  private final Map<Double, Long> cachedQuantiles = new HashMap<>();
+  private int samplesSinceCached;
 
   /** Records the latency of an attempt that was answered. */
   public void record(long latencyNanos, long nowNanos) {
     rotateIfDue(nowNanos);
     current.recordValue(Math.min(MAXIMUM_MICROS, Math.max(1, latencyNanos / 1_000)));
-    samplesSinceQuantiles++;
-    if (samplesSinceQuantiles >= SAMPLES_UNTIL_STALE) {
-      forgetQuantiles();
+    samplesSinceCached++;
+    if (samplesSinceCached >= QUANTILE_CACHE_SAMPLES) {
+      clearCachedQuantiles();
     }
   }
 
   /**
    * A quantile of the current window, or of the previous one while the current has too few samples.
-   * The value may be up to {@value #SAMPLES_UNTIL_STALE} samples old.
+   * The value may be up to {@value #QUANTILE_CACHE_SAMPLES} samples old.
    *
    * @param quantile from 0 to 1
    * @param fallbackNanos returned while neither window has enough samples
@@ -47,13 +47,13 @@
     if (source.getTotalCount() < MINIMUM_SAMPLES) {
       return fallbackNanos;
     }
-    return quantiles.computeIfAbsent(
+    return cachedQuantiles.computeIfAbsent(
         quantile, wanted -> source.getValueAtPercentile(100 * wanted) * 1_000);
   }
 
-  private void forgetQuantiles() {
-    quantiles.clear();
-    samplesSinceQuantiles = 0;
+  private void clearCachedQuantiles() {
+    cachedQuantiles.clear();
+    samplesSinceCached = 0;
   }
 
   private void rotateIfDue(long nowNanos) {
@@ -65,6 +65,6 @@
     oldest.reset();
     current = oldest;
     windowStartNanos = nowNanos;
-    forgetQuantiles();
+    clearCachedQuantiles();
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/membership/RumourQueue.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/membership/GossipQueue.java
@@ -12,22 +12,22 @@
  * @param <K> the subject of an item; a newer item replaces an older one of the same key
  * @param <T> the item
  */
-final class RumourQueue<K, T> {
+final class GossipQueue<K, T> {
   private static final int TRANSMISSIONS_PER_DOUBLING = 3;
 
-  private final Map<K, Rumour<T>> rumours = new LinkedHashMap<>();
+  private final Map<K, Item<T>> items = new LinkedHashMap<>();
 
-  private static final class Rumour<T> {
+  private static final class Item<T> {
     private final T news;
     private int transmissions;
 
-    private Rumour(T news) {
+    private Item(T news) {
       this.news = news;
     }
   }
 
   void add(K key, T news) {
-    rumours.put(key, new Rumour<>(news));
+    items.put(key, new Item<>(news));
   }
 
   /**
@@ -39,17 +39,17 @@
   ImmutableList<T> take(int maximum, int members) {
     int transmissionLimit =
         TRANSMISSIONS_PER_DOUBLING * (Integer.SIZE - Integer.numberOfLeadingZeros(members));
-    ImmutableList<Map.Entry<K, Rumour<T>>> chosen =
-        rumours.entrySet().stream()
+    ImmutableList<Map.Entry<K, Item<T>>> chosen =
+        items.entrySet().stream()
             .sorted(Comparator.comparingInt(entry -> entry.getValue().transmissions))
             .limit(maximum)
             .collect(ImmutableList.toImmutableList());
     ImmutableList.Builder<T> taken = ImmutableList.builder();
-    for (Map.Entry<K, Rumour<T>> entry : chosen) {
-      Rumour<T> rumour = entry.getValue();
-      taken.add(rumour.news);
-      if (++rumour.transmissions >= transmissionLimit) {
-        rumours.remove(entry.getKey());
+    for (Map.Entry<K, Item<T>> entry : chosen) {
+      Item<T> item = entry.getValue();
+      taken.add(item.news);
+      if (++item.transmissions >= transmissionLimit) {
+        items.remove(entry.getKey());
       }
     }
     return taken.build();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/membership/MemberTable.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/membership/MemberTable.java
@@ -67,15 +67,15 @@
   }
 
   /** Suspects that have not refuted the suspicion within the timeout. */
-  ImmutableList<MemberRecord> overdueSuspects(Duration timeToRefute, long nowNanos) {
+  ImmutableList<MemberRecord> overdueSuspects(Duration suspicionTimeout, long nowNanos) {
     return entries.values().stream()
         .filter(entry -> entry.record().state() == State.SUSPECT)
-        .filter(entry -> nowNanos - entry.sinceNanos() >= timeToRefute.toNanos())
+        .filter(entry -> nowNanos - entry.sinceNanos() >= suspicionTimeout.toNanos())
         .map(Entry::record)
         .collect(ImmutableList.toImmutableList());
   }
 
-  void forgetLongDead(long nowNanos) {
+  void removeExpiredDead(long nowNanos) {
     entries
         .values()
         .removeIf(
--- a/arrowarch-core/src/main/java/io/arrowarch/core/membership/Membership.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/membership/Membership.java
@@ -34,28 +34,28 @@
  */
 public final class Membership {
   static final Duration PERIOD = Duration.ofSeconds(1);
-  static final Duration TIME_TO_REFUTE = Duration.ofSeconds(4);
+  static final Duration SUSPICION_TIMEOUT = Duration.ofSeconds(4);
   private static final Duration DIRECT_ACK_TIMEOUT = Duration.ofMillis(400);
   private static final int INDIRECT_PINGS = 2;
 
   /** Member records per message; with its other fields, the message then fits a datagram. */
-  private static final int NEWS_PER_MESSAGE = 6;
+  private static final int MEMBERS_PER_MESSAGE = 6;
 
   /**
    * The first ping of an incarnation has a random number below this bound. Otherwise an ack to an
    * earlier incarnation could match a later ping, and its contents would be taken to be newer than
    * they are.
    */
-  private static final long HIGHEST_FIRST_NUMBER = 1L << 40;
+  private static final long FIRST_PING_NUMBER_BOUND = 1L << 40;
 
-  private static final int NEWS_FOR_JOINER = 64;
+  private static final int MEMBERS_PER_BULK_LIST = 64;
   private static final int DRAINS_PER_MESSAGE = 8;
 
   /**
    * Times after its start at which a router asks one random router for its members again. When all
    * routers start at once, the first that it asks know few members.
    */
-  private static final ImmutableList<Duration> JOIN_TIMES =
+  private static final ImmutableList<Duration> JOIN_RETRY_DELAYS =
       ImmutableList.of(
           Duration.ofMillis(250),
           Duration.ofMillis(700),
@@ -71,18 +71,18 @@
   private final PeerTransport transport;
   private final NewsSource newsSource;
   private final MemberTable table = new MemberTable();
-  private final RumourQueue<String, MemberRecord> memberRumours = new RumourQueue<>();
-  private final RumourQueue<DrainMark, DrainMark> drainRumours = new RumourQueue<>();
+  private final GossipQueue<String, MemberRecord> memberGossip = new GossipQueue<>();
+  private final GossipQueue<DrainMark, DrainMark> drainGossip = new GossipQueue<>();
   private final Set<String> contactAddresses = new LinkedHashSet<>();
   private final Deque<String> pingOrder = new ArrayDeque<>();
-  private final Map<Long, Pinged> pinged = new HashMap<>();
+  private final Map<Long, PendingPing> pendingPings = new HashMap<>();
   private MemberRecord self;
   private boolean superseded;
-  private long nextNumber;
+  private long nextPingNumber;
   private long periods;
 
   /** A ping that has not been answered. */
-  private record Pinged(long sentNanos, Runnable onAck) {}
+  private record PendingPing(long sentNanos, Runnable onAck) {}
 
   /** Supplies the gossip of each ping and ack besides members and drains. */
   public interface NewsSource {
@@ -110,15 +110,15 @@
     this.random = random;
     this.transport = transport;
     this.newsSource = newsSource;
-    this.nextNumber = random.nextLong(HIGHEST_FIRST_NUMBER);
+    this.nextPingNumber = random.nextLong(FIRST_PING_NUMBER_BOUND);
     addContacts(contacts);
   }
 
   /** Pings every contact and starts the periodic pings. */
   public void start() {
     contactAddresses.forEach(this::askForMembers);
-    for (Duration time : JOIN_TIMES) {
-      timers.schedule(clock.nanoTime() + time.toNanos(), this::askAnyForMembers);
+    for (Duration delay : JOIN_RETRY_DELAYS) {
+      timers.schedule(clock.nanoTime() + delay.toNanos(), this::askAnyForMembers);
     }
     schedulePeriod();
   }
@@ -132,7 +132,7 @@
   }
 
   /** Pings this router itself, so that the classes that messages need are loaded. */
-  public void rehearse() {
+  public void pingSelf() {
     askForMembers(self.address());
   }
 
@@ -144,14 +144,14 @@
 
   /** Announces to the other routers that this one is shutting down. */
   public void leave() {
-    self = self.refuted(self.sequence() + 1, State.LEAVING);
-    memberRumours.add(self.id(), self);
+    self = self.withSequence(self.sequence() + 1, State.LEAVING);
+    memberGossip.add(self.id(), self);
     reachable().forEach(member -> ping(member.address(), () -> {}));
   }
 
   /** Spreads the news that an incarnation of a back end is draining. */
-  public void tellDrain(DrainMark mark) {
-    drainRumours.add(mark, mark);
+  public void announceDrain(DrainMark mark) {
+    drainGossip.add(mark, mark);
   }
 
   /** The record of this router. */
@@ -205,7 +205,7 @@
   public void onPing(MemberRecord sender, PeerBody.Ping ping, boolean wasKnown) {
     learnNews(ping.news());
     boolean joins = ping.joining() || !wasKnown;
-    PeerBody.News news = joins ? fullNews(NEWS_FOR_JOINER) : news(NEWS_PER_MESSAGE);
+    PeerBody.News news = joins ? fullNews(MEMBERS_PER_BULK_LIST) : news(MEMBERS_PER_MESSAGE);
     send(sender.address(), new PeerBody.Ack(ping.number(), news));
   }
 
@@ -217,16 +217,17 @@
    */
   public Optional<Long> onAck(PeerBody.Ack ack) {
     learnNews(ack.news());
-    Optional<Pinged> answered = Optional.ofNullable(pinged.remove(ack.number()));
+    Optional<PendingPing> answered = Optional.ofNullable(pendingPings.remove(ack.number()));
     answered.ifPresent(ping -> ping.onAck().run());
-    return answered.map(Pinged::sentNanos);
+    return answered.map(PendingPing::sentNanos);
   }
 
   /** Pings a target for another router, and answers that router when the target has. */
   public void onPingRequest(MemberRecord sender, PeerBody.PingRequest request) {
     ping(
         request.targetAddress(),
-        () -> send(sender.address(), new PeerBody.Ack(request.number(), news(NEWS_PER_MESSAGE))));
+        () ->
+            send(sender.address(), new PeerBody.Ack(request.number(), news(MEMBERS_PER_MESSAGE))));
   }
 
   /** Whether a sender is known and not dead; to be called before {@link #onSender}. */
@@ -244,10 +245,10 @@
     schedulePeriod();
     periods++;
     long nowNanos = clock.nanoTime();
-    for (MemberRecord suspect : table.overdueSuspects(TIME_TO_REFUTE, nowNanos)) {
+    for (MemberRecord suspect : table.overdueSuspects(SUSPICION_TIMEOUT, nowNanos)) {
       learn(suspect.withState(State.DEAD));
     }
-    table.forgetLongDead(nowNanos);
+    table.removeExpiredDead(nowNanos);
     nextPingTarget().ifPresent(this::probe);
     if (periods % PERIODS_PER_REJOIN_PING == 0 || reachable().isEmpty()) {
       pingUnreachable();
@@ -276,14 +277,14 @@
     timers.schedule(
         clock.nanoTime() + DIRECT_ACK_TIMEOUT.toNanos(),
         () -> {
-          if (pinged.containsKey(number)) {
+          if (pendingPings.containsKey(number)) {
             pingThroughOthers(number, target);
           }
         });
     timers.schedule(
         clock.nanoTime() + PERIOD.toNanos(),
         () -> {
-          if (pinged.remove(number) != null) {
+          if (pendingPings.remove(number) != null) {
             suspect(target);
           }
         });
@@ -324,17 +325,17 @@
   }
 
   private long ping(String address, boolean joining, Runnable onAck) {
-    long number = nextNumber++;
+    long number = nextPingNumber++;
     long nowNanos = clock.nanoTime();
-    pinged.put(number, new Pinged(nowNanos, onAck));
-    timers.schedule(nowNanos + 2 * PERIOD.toNanos(), () -> pinged.remove(number));
-    send(address, new PeerBody.Ping(number, joining, news(NEWS_PER_MESSAGE)));
+    pendingPings.put(number, new PendingPing(nowNanos, onAck));
+    timers.schedule(nowNanos + 2 * PERIOD.toNanos(), () -> pendingPings.remove(number));
+    send(address, new PeerBody.Ping(number, joining, news(MEMBERS_PER_MESSAGE)));
     return number;
   }
 
   private PeerBody.News news(int limit) {
     int size = table.all().size() + 1;
-    return newsWith(false, memberRumours.take(limit, size));
+    return newsWith(false, memberGossip.take(limit, size));
   }
 
   private PeerBody.News fullNews(int limit) {
@@ -350,7 +351,7 @@
         configuration.store(),
         bulk,
         members,
-        drainRumours.take(DRAINS_PER_MESSAGE, size));
+        drainGossip.take(DRAINS_PER_MESSAGE, size));
   }
 
   private void learnNews(PeerBody.News news) {
@@ -367,7 +368,7 @@
     if (claim.id().equals(self.id())) {
       learnAboutSelf(claim);
     } else if (table.merge(claim, clock.nanoTime())) {
-      memberRumours.add(claim.id(), claim);
+      memberGossip.add(claim.id(), claim);
     }
   }
 
@@ -375,8 +376,8 @@
     if (claim.incarnation() > self.incarnation()) {
       superseded = true;
     } else if (claim.incarnation() == self.incarnation() && claim.overrides(self)) {
-      self = self.refuted(claim.sequence() + 1, self.state());
-      memberRumours.add(self.id(), self);
+      self = self.withSequence(claim.sequence() + 1, self.state());
+      memberGossip.add(self.id(), self);
     }
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/once/Ticket.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/once/Ticket.java
@@ -13,12 +13,12 @@
  * @param number unique within the incarnation; later tickets have higher numbers
  */
 public record Ticket(String nodeId, long incarnation, long number) {
-  private static final Pattern FORM =
+  private static final Pattern FORMAT =
       Pattern.compile("([A-Za-z0-9._-]{1,63})~([0-9]{1,18})~([0-9]{1,18})");
 
   /** Parses the text form; empty when it is malformed. */
   public static Optional<Ticket> parse(String text) {
-    Matcher matcher = FORM.matcher(text);
+    Matcher matcher = FORMAT.matcher(text);
     if (!matcher.matches()) {
       return Optional.empty();
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/once/TicketRegistry.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/once/TicketRegistry.java
@@ -109,7 +109,7 @@
   public static final class Redemption<O> {
     private final long number;
     private final String fingerprint;
-    private final List<Consumer<O>> resends = new ArrayList<>();
+    private final List<Consumer<O>> outcomeListeners = new ArrayList<>();
     private Optional<O> outcome = Optional.empty();
 
     private Redemption(long number, String fingerprint) {
@@ -121,7 +121,7 @@
       if (outcome.isPresent()) {
         consumer.accept(outcome.get());
       } else {
-        resends.add(consumer);
+        outcomeListeners.add(consumer);
       }
     }
   }
@@ -136,7 +136,7 @@
     if (executed == Executed.NO) {
       redemptions.remove(redemption.number);
     }
-    redemption.resends.forEach(resend -> resend.accept(outcome));
-    redemption.resends.clear();
+    redemption.outcomeListeners.forEach(listener -> listener.accept(outcome));
+    redemption.outcomeListeners.clear();
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/NearbyRouter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/LiveRouter.java
@@ -7,5 +7,4 @@
  * @param address IP:PORT for messages from other routers
  * @param cores processor capacity, in cores; 0 when unknown
  */
-public record NearbyRouter(
-    String id, long incarnation, String zone, String address, double cores) {}
+public record LiveRouter(String id, long incarnation, String zone, String address, double cores) {}
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/MemberRecord.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/MemberRecord.java
@@ -57,7 +57,7 @@
   }
 
   /** The same router with another sequence and state. */
-  public MemberRecord refuted(long newSequence, State ownState) {
+  public MemberRecord withSequence(long newSequence, State ownState) {
     return new MemberRecord(id, zone, address, cores, incarnation, newSequence, ownState);
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerGroup.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerGroup.java
@@ -5,7 +5,7 @@
 /** Finds the other routers and sends messages to them. */
 public interface PeerGroup {
   /** The other routers that are alive; the same list instance until one of them changes. */
-  ImmutableList<NearbyRouter> nearby();
+  ImmutableList<LiveRouter> liveRouters();
 
   /** Sends a message to the peer address of a router; it may be lost. */
   void send(String address, PeerBody body);
@@ -14,7 +14,7 @@
   PeerGroup NONE =
       new PeerGroup() {
         @Override
-        public ImmutableList<NearbyRouter> nearby() {
+        public ImmutableList<LiveRouter> liveRouters() {
           return ImmutableList.of();
         }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterCore.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterCore.java
@@ -73,7 +73,7 @@
     this.random = random;
     this.transports = transports;
     NodeIdentity identity = options.identity();
-    this.replicas = new ReplicaTable(this::tellDrain);
+    this.replicas = new ReplicaTable(this::announceDrain);
     this.prober = new Prober(clock, timers, random, replicas, transports.probes());
     this.membership = createMembership(identity);
     this.agreement =
@@ -272,13 +272,13 @@
     agreement.onNews(sender, news.inForce(), news.accepted());
     for (DrainMark mark : news.drains()) {
       if (replicas.onDrainMark(mark.backend(), mark.incarnation())) {
-        membership.tellDrain(mark);
+        membership.announceDrain(mark);
       }
     }
   }
 
-  private void tellDrain(String backendId, String incarnation) {
-    membership.tellDrain(new DrainMark(backendId, incarnation));
+  private void announceDrain(String backendId, String incarnation) {
+    membership.announceDrain(new DrainMark(backendId, incarnation));
   }
 
   private void reconfigure(Configuration configuration) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/selector/DayWindow.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/selector/DayWindow.java
@@ -15,7 +15,7 @@
  * time, an hour that is skipped is never in it, and an hour that is repeated is in it both times.
  */
 public final class DayWindow {
-  private static final Pattern FORM =
+  private static final Pattern FORMAT =
       Pattern.compile("([0-2][0-9]:[0-5][0-9])-([0-2][0-9]:[0-5][0-9]) (\\S+)");
   private static final String MIDNIGHT_AT_END = "24:00";
 
@@ -37,7 +37,7 @@
    * @throws IllegalArgumentException when the format, a time or the time zone is invalid
    */
   public static DayWindow parse(String text) {
-    Matcher matcher = FORM.matcher(text);
+    Matcher matcher = FORMAT.matcher(text);
     if (!matcher.matches()) {
       throw new IllegalArgumentException(
           "'" + text + "' is not a window such as 06:00-22:00 America/Recife");
--- a/arrowarch-core/src/main/java/io/arrowarch/core/selector/LabelRequirement.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/selector/LabelRequirement.java
@@ -13,7 +13,7 @@
   private static final Pattern SET = Pattern.compile(KEY + "\\s+(in|notin)\\s*\\(([^()]*)\\)");
   private static final Pattern EQUALITY = Pattern.compile(KEY + "\\s*(=|==|!=)\\s*" + VALUE);
   private static final Pattern EXISTENCE = Pattern.compile("(!?)\\s*" + KEY);
-  private static final Pattern VALUE_FORM = Pattern.compile(VALUE);
+  private static final Pattern VALUE_FORMAT = Pattern.compile(VALUE);
 
   private enum Operator {
     IN,
@@ -74,7 +74,7 @@
   private static ImmutableSet<String> parseValues(String term, String list) {
     ImmutableSet<String> values =
         Arrays.stream(list.split(",", -1)).map(String::trim).collect(ImmutableSet.toImmutableSet());
-    if (!values.stream().allMatch(value -> VALUE_FORM.matcher(value).matches())) {
+    if (!values.stream().allMatch(value -> VALUE_FORMAT.matcher(value).matches())) {
       throw new IllegalArgumentException("'" + term + "' has an empty or malformed value");
     }
     return values;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/ResponsibleRouters.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/ResponsibleRouters.java
@@ -3,7 +3,7 @@
 import com.google.common.collect.ImmutableList;
 import com.google.common.hash.HashFunction;
 import com.google.common.hash.Hashing;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.PeerGroup;
 import java.nio.charset.StandardCharsets;
 import java.util.Comparator;
@@ -29,16 +29,16 @@
   /** Whether this router is the first. */
   boolean isSelf(RequestKey key) {
     long own = weight(key, ownId);
-    return peers.nearby().stream().noneMatch(router -> weight(key, router.id()) < own);
+    return peers.liveRouters().stream().noneMatch(router -> weight(key, router.id()) < own);
   }
 
   /** Peer addresses of the others that count a request. */
   ImmutableList<String> others(RequestKey key) {
     int others = isSelf(key) ? COUNTING - 1 : COUNTING;
-    return peers.nearby().stream()
+    return peers.liveRouters().stream()
         .sorted(Comparator.comparingLong(router -> weight(key, router.id())))
         .limit(others)
-        .map(NearbyRouter::address)
+        .map(LiveRouter::address)
         .collect(ImmutableList.toImmutableList());
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectNews.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectNews.java
@@ -4,7 +4,7 @@
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ListMultimap;
 import com.google.common.collect.Lists;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.PeerBody;
 import io.arrowarch.core.peer.PeerGroup;
 import io.arrowarch.core.time.RouterClock;
@@ -162,11 +162,11 @@
   }
 
   private List<String> sample(int size) {
-    List<NearbyRouter> others = new ArrayList<>(peers.nearby());
+    List<LiveRouter> others = new ArrayList<>(peers.liveRouters());
     int wanted = Math.min(size, others.size());
     for (int i = 0; i < wanted; i++) {
       Collections.swap(others, i, i + random.nextInt(others.size() - i));
     }
-    return others.subList(0, wanted).stream().map(NearbyRouter::address).toList();
+    return others.subList(0, wanted).stream().map(LiveRouter::address).toList();
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/CountingRouters.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/CountingRouters.java
@@ -3,7 +3,7 @@
 import com.google.common.collect.ImmutableList;
 import com.google.common.hash.HashFunction;
 import com.google.common.hash.Hashing;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.PeerGroup;
 import io.arrowarch.core.time.RouterClock;
 import java.nio.charset.StandardCharsets;
@@ -43,7 +43,7 @@
   private final RouterClock clock;
   private final Map<String, Long> failedNanos = new HashMap<>();
   private final Map<String, ImmutableList<Candidate>> byTenant = new HashMap<>();
-  private ImmutableList<NearbyRouter> rankedFrom = ImmutableList.of();
+  private ImmutableList<LiveRouter> rankedFrom = ImmutableList.of();
   private int most;
   private long mostNanos;
 
@@ -93,7 +93,7 @@
    */
   private double share() {
     long nowNanos = clock.nanoTime();
-    int reachable = 1 + peers.nearby().size();
+    int reachable = 1 + peers.liveRouters().size();
     boolean forgotten = nowNanos - mostNanos > SIZE_MEMORY.toNanos();
     if (reachable >= most || forgotten) {
       most = reachable;
@@ -115,9 +115,9 @@
   /** Whether it is the very list: comparing its members would cost as much as ranking them anew. */
   @SuppressWarnings("ReferenceEquality")
   private void forgetRankingOfOthers() {
-    ImmutableList<NearbyRouter> nearby = peers.nearby();
-    if (nearby != rankedFrom) {
-      rankedFrom = nearby;
+    ImmutableList<LiveRouter> liveRouters = peers.liveRouters();
+    if (liveRouters != rankedFrom) {
+      rankedFrom = liveRouters;
       byTenant.clear();
     }
   }
@@ -125,7 +125,7 @@
   private ImmutableList<Candidate> rank(String tenant) {
     List<Candidate> all = new ArrayList<>();
     all.add(self());
-    for (NearbyRouter router : rankedFrom) {
+    for (LiveRouter router : rankedFrom) {
       all.add(new Candidate(router.id(), Optional.of(router.address())));
     }
     all.sort(Comparator.comparingLong(candidate -> weight(tenant, candidate.id())));
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCounter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCounter.java
@@ -3,7 +3,7 @@
 import com.google.common.collect.ImmutableList;
 import io.arrowarch.core.event.EventLog;
 import io.arrowarch.core.event.RouterEvent;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.PeerBody;
 import io.arrowarch.core.peer.PeerGroup;
 import io.arrowarch.core.time.RouterClock;
@@ -154,7 +154,7 @@
   private void tellOthers(PeerBody.Limited limited) {
     ImmutableList<PeerBody.Limited> limits = ImmutableList.of(limited);
     Set<String> told = new HashSet<>();
-    for (NearbyRouter router : peers.nearby()) {
+    for (LiveRouter router : peers.liveRouters()) {
       boolean own = router.zone().equals(ownZone);
       if (own || told.add(router.zone())) {
         peers.send(router.address(), new PeerBody.TenantNotice(limits, !own));
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimiter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimiter.java
@@ -3,8 +3,8 @@
 import com.google.common.collect.ImmutableList;
 import io.arrowarch.core.event.EventLog;
 import io.arrowarch.core.event.RouterEvent;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.MemberRecord;
-import io.arrowarch.core.peer.NearbyRouter;
 import io.arrowarch.core.peer.PeerBody;
 import io.arrowarch.core.peer.PeerGroup;
 import io.arrowarch.core.peer.PeerMessage;
@@ -328,7 +328,7 @@
     takeLimits(notice.limits());
     if (notice.passOn()) {
       PeerBody.TenantNotice passed = new PeerBody.TenantNotice(notice.limits(), false);
-      for (NearbyRouter router : peers.nearby()) {
+      for (LiveRouter router : peers.liveRouters()) {
         if (router.zone().equals(ownZone)) {
           peers.send(router.address(), passed);
         }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashFleet.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/CrashFleet.java
@@ -3,8 +3,8 @@
 import com.google.common.collect.ImmutableList;
 import io.arrowarch.core.FakeClock;
 import io.arrowarch.core.error.QueryError;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.MemberRecord;
-import io.arrowarch.core.peer.NearbyRouter;
 import io.arrowarch.core.peer.PeerBody;
 import io.arrowarch.core.peer.PeerGroup;
 import io.arrowarch.core.peer.PeerMessage;
@@ -83,7 +83,7 @@
     boolean partitioned;
     private int incarnation;
     private ForwardFixture core;
-    private ImmutableList<NearbyRouter> nearby = ImmutableList.of();
+    private ImmutableList<LiveRouter> liveRouters = ImmutableList.of();
 
     Router(int number) {
       this.number = number;
@@ -105,12 +105,12 @@
               core.server(id, server.service);
             }
           });
-      routers.forEach(Router::refreshNearby);
+      routers.forEach(Router::refreshLiveRouters);
     }
 
     void kill() {
       dead = true;
-      routers.forEach(Router::refreshNearby);
+      routers.forEach(Router::refreshLiveRouters);
       servers.values().forEach(server -> server.open.values().removeIf(by -> by == this));
     }
 
@@ -124,14 +124,14 @@
       core.submit("request-" + nextRequest++, path, ForwardFixture.TIMEOUT);
     }
 
-    private void refreshNearby() {
-      ImmutableList.Builder<NearbyRouter> known = ImmutableList.builder();
+    private void refreshLiveRouters() {
+      ImmutableList.Builder<LiveRouter> known = ImmutableList.builder();
       for (Router other : routers) {
         if (other != this && !other.dead) {
-          known.add(new NearbyRouter(other.id(), other.incarnation, "zone-a", other.id(), 1));
+          known.add(new LiveRouter(other.id(), other.incarnation, "zone-a", other.id(), 1));
         }
       }
-      nearby = known.build();
+      liveRouters = known.build();
     }
 
     private String id() {
@@ -155,8 +155,8 @@
     }
 
     @Override
-    public ImmutableList<NearbyRouter> nearby() {
-      return nearby;
+    public ImmutableList<LiveRouter> liveRouters() {
+      return liveRouters;
     }
 
     @Override
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FixedRouterGroup.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FixedRouterGroup.java
@@ -1,13 +1,13 @@
 package io.arrowarch.core.forward;
 
 import com.google.common.collect.ImmutableList;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import java.util.List;
 
 /** A group of routers that a test sets; searches cannot be handed to them. */
-record FixedRouterGroup(int count, List<NearbyRouter> others) implements RouterGroup {
+record FixedRouterGroup(int count, List<LiveRouter> others) implements RouterGroup {
   @Override
-  public ImmutableList<NearbyRouter> nearby() {
+  public ImmutableList<LiveRouter> liveRouters() {
     return ImmutableList.copyOf(others);
   }
 }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/FollowerFleet.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/FollowerFleet.java
@@ -13,8 +13,8 @@
 import io.arrowarch.core.feed.FeedListener;
 import io.arrowarch.core.feed.FeedTransport;
 import io.arrowarch.core.feed.StoreFollower;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.MemberRecord;
-import io.arrowarch.core.peer.NearbyRouter;
 import io.arrowarch.core.peer.PeerMessage;
 import io.arrowarch.core.peer.PeerTransport;
 import io.arrowarch.core.peer.StoreNews;
@@ -370,8 +370,8 @@
     }
 
     @Override
-    public ImmutableList<NearbyRouter> nearby() {
-      return peers.nearby();
+    public ImmutableList<LiveRouter> liveRouters() {
+      return peers.liveRouters();
     }
 
     @Override
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/GatherersTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/GatherersTest.java
@@ -7,7 +7,7 @@
 import com.google.common.collect.ImmutableSet;
 import io.arrowarch.core.FakeClock;
 import io.arrowarch.core.feed.FeedBounds;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.server.ServerDirectory;
 import io.arrowarch.core.server.ServerEntry;
 import java.time.Duration;
@@ -24,7 +24,7 @@
 
   private final FakeClock clock = new FakeClock();
   private final ServerDirectory directory = new ServerDirectory(Duration.ofMillis(1_500));
-  private final List<NearbyRouter> others = new ArrayList<>();
+  private final List<LiveRouter> others = new ArrayList<>();
 
   @BeforeMethod
   public void createServers() {
@@ -124,8 +124,8 @@
     return ids(choose(ownZone, 1).first());
   }
 
-  private static List<String> ids(List<NearbyRouter> routers) {
-    return routers.stream().map(NearbyRouter::id).toList();
+  private static List<String> ids(List<LiveRouter> routers) {
+    return routers.stream().map(LiveRouter::id).toList();
   }
 
   private Gatherers.Choice choose(String ownZone, double ownCores) {
@@ -153,7 +153,7 @@
   }
 
   private void add(String id, String zone, double cores) {
-    others.add(new NearbyRouter(id, 1, zone, "10.0.0.1:1", cores));
+    others.add(new LiveRouter(id, 1, zone, "10.0.0.1:1", cores));
   }
 
   private void server(String shard, String zone) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/LookoutsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/LookoutsTest.java
@@ -6,7 +6,7 @@
 import com.google.common.collect.ImmutableSet;
 import io.arrowarch.core.FakeClock;
 import io.arrowarch.core.feed.FeedBounds;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.List;
@@ -47,7 +47,7 @@
   public void inALargeZoneTheOthersFollowLookouts() {
     Set<String> lookouts = new HashSet<>();
     Set<String> followed = new HashSet<>();
-    for (NearbyRouter router : zone(24)) {
+    for (LiveRouter router : zone(24)) {
       Lookouts view = of(router.id(), without(router.id(), zone(24)));
       if (view.isLookout()) {
         lookouts.add(router.address());
@@ -73,19 +73,19 @@
     assertThat(view.lookoutToFollow()).contains(first);
   }
 
-  private static List<NearbyRouter> zone(int routers) {
+  private static List<LiveRouter> zone(int routers) {
     return IntStream.range(0, routers)
         .mapToObj(number -> router("router-" + number, "zone-a"))
         .toList();
   }
 
-  private static List<NearbyRouter> without(String id, List<NearbyRouter> routers) {
+  private static List<LiveRouter> without(String id, List<LiveRouter> routers) {
     return routers.stream().filter(router -> !router.id().equals(id)).toList();
   }
 
   @Test
   public void routersOfOtherZonesDoNotCount() {
-    List<NearbyRouter> elsewhere =
+    List<LiveRouter> elsewhere =
         IntStream.range(0, 50).mapToObj(number -> router("other-" + number, "zone-b")).toList();
 
     assertThat(isLookout("router-0", elsewhere)).isTrue();
@@ -97,15 +97,15 @@
         .count();
   }
 
-  private static NearbyRouter router(String id, String zone) {
-    return new NearbyRouter(id, 1, zone, id + ":1", 1);
+  private static LiveRouter router(String id, String zone) {
+    return new LiveRouter(id, 1, zone, id + ":1", 1);
   }
 
-  private boolean isLookout(String id, List<NearbyRouter> others) {
+  private boolean isLookout(String id, List<LiveRouter> others) {
     return of(id, others).isLookout();
   }
 
-  private Lookouts of(String id, List<NearbyRouter> others) {
+  private Lookouts of(String id, List<LiveRouter> others) {
     ForwardOptions options =
         new ForwardOptions(
             id,
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ReadinessTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ReadinessTest.java
@@ -12,7 +12,7 @@
 import io.arrowarch.core.feed.FeedEntry;
 import io.arrowarch.core.feed.FeedItem;
 import io.arrowarch.core.feed.FeedTransport;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.route.CallerLimits;
 import io.arrowarch.core.route.RoutingConfiguration;
 import io.arrowarch.core.store.StoreRevision;
@@ -31,16 +31,16 @@
  * It stays ready while it hears other routers, since their views are no fresher.
  */
 public final class ReadinessTest {
-  private static final NearbyRouter OTHER = new NearbyRouter("other", 1, "zone-a", "10.0.0.2:1", 1);
+  private static final LiveRouter OTHER = new LiveRouter("other", 1, "zone-a", "10.0.0.2:1", 1);
 
   private FakeClock clock;
-  private ImmutableList<NearbyRouter> nearby;
+  private ImmutableList<LiveRouter> liveRouters;
   private ForwardingRouter router;
 
   @BeforeMethod
   public void start() {
     clock = new FakeClock();
-    nearby = ImmutableList.of(OTHER);
+    liveRouters = ImmutableList.of(OTHER);
     router =
         new ForwardingRouter(
             options(),
@@ -65,7 +65,7 @@
 
   @Test
   public void isNotReadyWhenItHearsNoOtherRouter() {
-    nearby = ImmutableList.of();
+    liveRouters = ImmutableList.of();
     assertThat(router.isReady()).isFalse();
     router
         .follower()
@@ -114,12 +114,12 @@
 
     @Override
     public int count() {
-      return 1 + nearby.size();
+      return 1 + liveRouters.size();
     }
 
     @Override
-    public ImmutableList<NearbyRouter> nearby() {
-      return nearby;
+    public ImmutableList<LiveRouter> liveRouters() {
+      return liveRouters;
     }
   }
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPair.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPair.java
@@ -2,7 +2,7 @@
 
 import com.google.common.collect.ImmutableList;
 import io.arrowarch.core.FakeClock;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -22,8 +22,8 @@
   /** So many that servers have no connections for all of them. */
   private static final int ROUTERS = 20;
 
-  private static final NearbyRouter DELEGATE =
-      new NearbyRouter("router-b", 1, "zone-b", "10.0.0.2:1", 1);
+  private static final LiveRouter DELEGATE =
+      new LiveRouter("router-b", 1, "zone-b", "10.0.0.2:1", 1);
 
   /** Past the first window, in which there is no share of the allowance. */
   private static final Duration AGE = Duration.ofSeconds(11);
@@ -40,7 +40,7 @@
 
   final List<Long> cancelled = new ArrayList<>();
   private final Map<Long, ForwardHandle> handles = new HashMap<>();
-  private ImmutableList<NearbyRouter> nearby = ImmutableList.of(DELEGATE);
+  private ImmutableList<LiveRouter> liveRouters = ImmutableList.of(DELEGATE);
 
   RouterPair() {
     near = new ForwardFixture(clock, "zone-a", this);
@@ -84,13 +84,13 @@
 
   /** A third router beside the second. */
   void addDelegate() {
-    nearby =
+    liveRouters =
         ImmutableList.of(
-            DELEGATE, new NearbyRouter("router-c", 1, "zone-b", "10.0.0.3:1", DELEGATE.cores()));
+            DELEGATE, new LiveRouter("router-c", 1, "zone-b", "10.0.0.3:1", DELEGATE.cores()));
   }
 
   void loseDelegate() {
-    nearby = ImmutableList.of();
+    liveRouters = ImmutableList.of();
   }
 
   /** Lets the second router take one search. */
@@ -123,7 +123,7 @@
   }
 
   @Override
-  public void send(long number, NearbyRouter delegate, DelegatedSearch search) {
+  public void send(long number, LiveRouter delegate, DelegatedSearch search) {
     underWay.put(number, search);
   }
 
@@ -141,8 +141,8 @@
   }
 
   @Override
-  public ImmutableList<NearbyRouter> nearby() {
-    return nearby;
+  public ImmutableList<LiveRouter> liveRouters() {
+    return liveRouters;
   }
 
   @Override
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPeersTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/RouterPeersTest.java
@@ -73,7 +73,7 @@
       create("r" + i, List.of("r1")).start();
     }
     run(Duration.ofSeconds(10));
-    routers.get("r2").tellDrain("server-7");
+    routers.get("r2").announceDrain("server-7");
     run(Duration.ofSeconds(8));
 
     assertThat(drains).contains("r3 server-7", "r4 server-7");
@@ -106,7 +106,7 @@
     run(Duration.ofSeconds(2));
 
     for (RouterPeers peers : routers.values()) {
-      assertThat(peers.nearby()).hasSizeGreaterThan(54);
+      assertThat(peers.liveRouters()).hasSizeGreaterThan(54);
     }
   }
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ShardGroupsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ShardGroupsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.common.collect.ImmutableList;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -25,10 +25,10 @@
   @Test
   public void aRouterThatGoesMovesNoOther() {
     ImmutableList<String> group = names("shard", 20);
-    ImmutableList<NearbyRouter> routers = routers(20);
-    ImmutableList<NearbyRouter> before = ShardGroups.ranked(group, routers);
-    NearbyRouter gone = before.get(3);
-    ImmutableList<NearbyRouter> left =
+    ImmutableList<LiveRouter> routers = routers(20);
+    ImmutableList<LiveRouter> before = ShardGroups.ranked(group, routers);
+    LiveRouter gone = before.get(3);
+    ImmutableList<LiveRouter> left =
         routers.stream()
             .filter(router -> !router.equals(gone))
             .collect(ImmutableList.toImmutableList());
@@ -40,7 +40,7 @@
   @Test
   public void theOrderInWhichRoutersAreKnownMakesNoDifference() {
     ImmutableList<String> group = names("shard", 20);
-    ImmutableList<NearbyRouter> routers = routers(20);
+    ImmutableList<LiveRouter> routers = routers(20);
 
     assertThat(ShardGroups.ranked(group, routers.reverse()))
         .isEqualTo(ShardGroups.ranked(group, routers));
@@ -48,10 +48,10 @@
 
   @Test
   public void largerMachinesComeFirst() {
-    ImmutableList<NearbyRouter> routers =
-        ImmutableList.<NearbyRouter>builder()
+    ImmutableList<LiveRouter> routers =
+        ImmutableList.<LiveRouter>builder()
             .addAll(routers(10))
-            .add(new NearbyRouter("large", 1, "zone", "10.0.0.1:1", 2))
+            .add(new LiveRouter("large", 1, "zone", "10.0.0.1:1", 2))
             .build();
 
     assertThat(ShardGroups.ranked(names("shard", 20), routers).get(0).id()).isEqualTo("large");
@@ -59,10 +59,10 @@
 
   @Test
   public void noRouterGathersMostGroups() {
-    ImmutableList<NearbyRouter> routers = routers(20);
-    Map<NearbyRouter, Integer> gathered = new HashMap<>();
+    ImmutableList<LiveRouter> routers = routers(20);
+    Map<LiveRouter, Integer> gathered = new HashMap<>();
     for (ImmutableList<String> group : ShardGroups.split(names("shard", 400), 40)) {
-      for (NearbyRouter router : ShardGroups.ranked(group, routers).subList(0, 5)) {
+      for (LiveRouter router : ShardGroups.ranked(group, routers).subList(0, 5)) {
         gathered.merge(router, 1, Integer::sum);
       }
     }
@@ -71,9 +71,9 @@
     assertThat(gathered.values()).allMatch(groups -> groups >= 3 && groups <= 18);
   }
 
-  private static ImmutableList<NearbyRouter> routers(int count) {
+  private static ImmutableList<LiveRouter> routers(int count) {
     return names("router", count).stream()
-        .map(id -> new NearbyRouter(id, 1, "zone", "10.0.0.1:1", 1))
+        .map(id -> new LiveRouter(id, 1, "zone", "10.0.0.1:1", 1))
         .collect(ImmutableList.toImmutableList());
   }
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/LimitFleet.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/LimitFleet.java
@@ -4,8 +4,8 @@
 import com.google.common.collect.ImmutableSet;
 import io.arrowarch.core.FakeClock;
 import io.arrowarch.core.event.EventLog;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.MemberRecord;
-import io.arrowarch.core.peer.NearbyRouter;
 import io.arrowarch.core.peer.PeerBody;
 import io.arrowarch.core.peer.PeerGroup;
 import io.arrowarch.core.peer.PeerMessage;
@@ -53,7 +53,7 @@
   final class Router implements PeerGroup {
     private final int number;
     private final Set<Integer> unreachable = new HashSet<>();
-    private ImmutableList<NearbyRouter> nearby = ImmutableList.of();
+    private ImmutableList<LiveRouter> liveRouters = ImmutableList.of();
     private TimerQueue timers = new TimerQueue();
     private final List<Runnable> unread = new ArrayList<>();
     private TenantLimiter limiter;
@@ -142,11 +142,11 @@
     }
 
     private void learnOfAll() {
-      ImmutableList.Builder<NearbyRouter> known = ImmutableList.builder();
+      ImmutableList.Builder<LiveRouter> known = ImmutableList.builder();
       for (Router other : routers) {
         if (other != this && !other.dead && !unreachable.contains(other.number)) {
           known.add(
-              new NearbyRouter(
+              new LiveRouter(
                   id(other.number),
                   other.incarnation,
                   zone(other.number),
@@ -154,12 +154,12 @@
                   1));
         }
       }
-      nearby = known.build();
+      liveRouters = known.build();
     }
 
     @Override
-    public ImmutableList<NearbyRouter> nearby() {
-      return nearby;
+    public ImmutableList<LiveRouter> liveRouters() {
+      return liveRouters;
     }
 
     @Override
--- a/arrowarch-core/src/test/java/io/arrowarch/core/tenant/TenantLimiterMessagesTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/tenant/TenantLimiterMessagesTest.java
@@ -6,8 +6,8 @@
 import com.google.common.collect.ImmutableSet;
 import io.arrowarch.core.FakeClock;
 import io.arrowarch.core.event.EventLog;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.MemberRecord;
-import io.arrowarch.core.peer.NearbyRouter;
 import io.arrowarch.core.peer.PeerBody;
 import io.arrowarch.core.peer.PeerGroup;
 import io.arrowarch.core.peer.PeerMessage;
@@ -125,12 +125,12 @@
     return new Tenant(name, ImmutableSet.of(), Optional.empty(), Optional.of(limit));
   }
 
-  private final ImmutableList<NearbyRouter> nearby =
-      ImmutableList.of(new NearbyRouter(COUNTING, 1, "zone-a", COUNTING, 1));
+  private final ImmutableList<LiveRouter> liveRouters =
+      ImmutableList.of(new LiveRouter(COUNTING, 1, "zone-a", COUNTING, 1));
 
   @Override
-  public ImmutableList<NearbyRouter> nearby() {
-    return nearby;
+  public ImmutableList<LiveRouter> liveRouters() {
+    return liveRouters;
   }
 
   @Override
--- a/arrowarch-node/src/main/java/io/arrowarch/node/forward/DelegateClient.java
+++ b/arrowarch-node/src/main/java/io/arrowarch/node/forward/DelegateClient.java
@@ -5,7 +5,7 @@
 import io.arrowarch.core.forward.DelegateTransport;
 import io.arrowarch.core.forward.DelegatedSearch;
 import io.arrowarch.core.forward.ForwardCoordinator;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.node.BoundedBody;
 import io.arrowarch.node.EventLoopDriver;
 import io.arrowarch.node.PeerEndpoint;
@@ -48,7 +48,7 @@
    */
   private record Peer(long incarnation, HttpClient client) {}
 
-  private HttpClient clientOf(NearbyRouter delegate) {
+  private HttpClient clientOf(LiveRouter delegate) {
     Peer known = peers.get(delegate.address());
     if (known != null && known.incarnation() == delegate.incarnation()) {
       return known.client();
@@ -71,7 +71,7 @@
   }
 
   @Override
-  public void send(long number, NearbyRouter delegate, DelegatedSearch search) {
+  public void send(long number, LiveRouter delegate, DelegatedSearch search) {
     Sending started = new Sending(number);
     sending.put(number, started);
     SocketAddressSetting address = SocketAddressSetting.parse(delegate.address());
--- a/arrowarch-node/src/main/java/io/arrowarch/node/forward/ForwardingNode.java
+++ b/arrowarch-node/src/main/java/io/arrowarch/node/forward/ForwardingNode.java
@@ -195,7 +195,7 @@
             searches ->
                 context.runOnContext(
                     ignored -> {
-                      peers.rehearse();
+                      peers.pingSelf();
                       warmUps.run(WarmUpPlan.HANDED_ON).onComplete(loaded);
                     }));
     return loaded.future();
--- a/arrowarch-node/src/main/java/io/arrowarch/node/forward/NodeRouterGroup.java
+++ b/arrowarch-node/src/main/java/io/arrowarch/node/forward/NodeRouterGroup.java
@@ -4,7 +4,7 @@
 import io.arrowarch.core.forward.DelegateTransport;
 import io.arrowarch.core.forward.RouterGroup;
 import io.arrowarch.core.forward.RouterPeers;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.PeerBody;
 import io.arrowarch.core.peer.PeerGroup;
 import java.util.function.Supplier;
@@ -35,8 +35,8 @@
   }
 
   @Override
-  public ImmutableList<NearbyRouter> nearby() {
-    return peers.get().nearby();
+  public ImmutableList<LiveRouter> liveRouters() {
+    return peers.get().liveRouters();
   }
 
   @Override
@@ -62,8 +62,8 @@
   /** The same routers, for the counting of tenants' limits. */
   private final class NodePeerGroup implements PeerGroup {
     @Override
-    public ImmutableList<NearbyRouter> nearby() {
-      return peers.get().nearby();
+    public ImmutableList<LiveRouter> liveRouters() {
+      return peers.get().liveRouters();
     }
 
     @Override
--- a/arrowarch-node/src/main/java/io/arrowarch/node/forward/WarmUpOrigin.java
+++ b/arrowarch-node/src/main/java/io/arrowarch/node/forward/WarmUpOrigin.java
@@ -6,7 +6,7 @@
 import io.arrowarch.core.forward.ForwardOptions;
 import io.arrowarch.core.forward.ForwardingRouter;
 import io.arrowarch.core.forward.RouterGroup;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.time.TimerQueue;
 import io.arrowarch.node.EventLoopDriver;
 import io.arrowarch.node.SocketAddressSetting;
@@ -34,7 +34,7 @@
   private final ForwardingRouter router;
   private final CallerServer callers;
   private final String zone;
-  private ImmutableList<NearbyRouter> gatherers = ImmutableList.of();
+  private ImmutableList<LiveRouter> gatherers = ImmutableList.of();
 
   /**
    * Creates a router.
@@ -88,7 +88,7 @@
         .compose(
             bound -> {
               String address = ForwardWarmUp.LOOPBACK + ":" + bound.actualPort();
-              gatherers = ImmutableList.of(new NearbyRouter(GATHERER, 1, zone, address, 1));
+              gatherers = ImmutableList.of(new LiveRouter(GATHERER, 1, zone, address, 1));
               return callers.listen(new SocketAddressSetting(ForwardWarmUp.LOOPBACK, 0));
             });
   }
@@ -103,7 +103,7 @@
   }
 
   @Override
-  public ImmutableList<NearbyRouter> nearby() {
+  public ImmutableList<LiveRouter> liveRouters() {
     return gatherers;
   }
 
--- a/arrowarch-node/src/test/java/io/arrowarch/node/forward/DelegateClientTest.java
+++ b/arrowarch-node/src/test/java/io/arrowarch/node/forward/DelegateClientTest.java
@@ -11,7 +11,7 @@
 import io.arrowarch.core.forward.ForwardedRequest;
 import io.arrowarch.core.forward.Payload;
 import io.arrowarch.core.forward.RouterGroup;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.route.RouteTarget;
 import io.arrowarch.core.server.ServerDirectory;
 import io.arrowarch.core.time.TimerQueue;
@@ -98,8 +98,8 @@
 
   /** Sends a search and awaits the reply. */
   private void send(long number, long incarnation) {
-    NearbyRouter delegate =
-        new NearbyRouter("b", incarnation, "zone-b", "127.0.0.1:" + router.actualPort(), 1);
+    LiveRouter delegate =
+        new LiveRouter("b", incarnation, "zone-b", "127.0.0.1:" + router.actualPort(), 1);
     Promise<Void> reply = Promise.promise();
     context.runOnContext(
         ignored -> {
