--- a/arrowarch-core/src/test/java/io/arrowarch/core/hedge/LatencyTrackerTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/hedge/LatencyTrackerTest.java
@@ -5,7 +5,10 @@
 import java.time.Duration;
 import org.testng.annotations.Test;
 
-/** Quantiles of recent latencies. */
+/**
+ * Quantiles of recent latencies. They are cached between samples; a cache that outlives its samples
+ * or its window, or that mixes quantiles, would give a wrong hedge delay.
+ */
 public final class LatencyTrackerTest {
   private static final long MILLI = Duration.ofMillis(1).toNanos();
   private static final double MEDIAN = 0.5;
--- a/arrowarch-core/src/test/java/io/arrowarch/core/once/TicketRegistryTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/once/TicketRegistryTest.java
@@ -11,6 +11,10 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
+/**
+ * A non-repeatable request must not run twice: not for a duplicate, not for a ticket of another
+ * incarnation, and not after the record of its ticket was dropped.
+ */
 public class TicketRegistryTest {
   private final TicketRegistry<String> registry = new TicketRegistry<>("n1", 7);
   private final List<String> heard = new ArrayList<>();
--- a/arrowarch-core/src/test/java/io/arrowarch/core/selector/DayWindowProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/selector/DayWindowProperties.java
@@ -12,6 +12,10 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 
+/**
+ * Daily windows of local time. Times near midnight and at the changes of daylight saving time are
+ * where a window computed from UTC or from elapsed time would be wrong.
+ */
 class DayWindowProperties {
   private static final String RECIFE = "America/Recife";
   private static final String BRATISLAVA = "Europe/Bratislava";
--- a/arrowarch-core/src/test/java/io/arrowarch/core/selector/LabelSelectorTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/selector/LabelSelectorTest.java
@@ -7,6 +7,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/**
+ * Label selectors: each operator with a label that is present and one that is missing, and terms
+ * that must be refused rather than parsed as something else.
+ */
 public class LabelSelectorTest {
   private static final Map<String, String> LABELS = Map.of("tier", "hot", "service", "shop");
 
