--- a/arrowarch-core/src/test/java/io/arrowarch/core/hedge/LatencyTrackerTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/hedge/LatencyTrackerTest.java
@@ -10,7 +10,7 @@
  * or its window, or that mixes quantiles, would give a wrong hedge delay.
  */
 public final class LatencyTrackerTest {
-  private static final long MILLI = Duration.ofMillis(1).toNanos();
+  private static final long MILLI_NANOS = Duration.ofMillis(1).toNanos();
   private static final double MEDIAN = 0.5;
 
   private final LatencyTracker tracker = new LatencyTracker();
@@ -22,45 +22,46 @@
   }
 
   @Test
-  public void aQuantileFollowsWithinAFewSamples() {
-    record(60, MILLI, 0);
-    assertThat(tracker.quantileNanos(MEDIAN, 7)).isBetween(MILLI * 9 / 10, MILLI * 11 / 10);
+  public void quantileFollowsLatenciesWithinAFewSamples() {
+    record(60, MILLI_NANOS, 0);
+    assertThat(tracker.quantileNanos(MEDIAN, 7))
+        .isBetween(MILLI_NANOS * 9 / 10, MILLI_NANOS * 11 / 10);
 
-    record(76, 10 * MILLI, 0);
-    assertThat(tracker.quantileNanos(MEDIAN, 7)).isBetween(9 * MILLI, 11 * MILLI);
+    record(76, 10 * MILLI_NANOS, 0);
+    assertThat(tracker.quantileNanos(MEDIAN, 7)).isBetween(9 * MILLI_NANOS, 11 * MILLI_NANOS);
   }
 
   @Test
-  public void quantilesOfOneMomentAreKeptApart() {
+  public void cachedQuantilesAreKeptApart() {
     LatencyTracker mixed = new LatencyTracker();
     for (int i = 0; i < 100; i++) {
-      mixed.record((i % 10 == 0 ? 50 : 1) * MILLI, 0);
+      mixed.record((i % 10 == 0 ? 50 : 1) * MILLI_NANOS, 0);
     }
 
-    assertThat(mixed.quantileNanos(MEDIAN, 7)).isLessThan(2 * MILLI);
-    assertThat(mixed.quantileNanos(0.99, 7)).isGreaterThan(40 * MILLI);
-    assertThat(mixed.quantileNanos(MEDIAN, 7)).isLessThan(2 * MILLI);
+    assertThat(mixed.quantileNanos(MEDIAN, 7)).isLessThan(2 * MILLI_NANOS);
+    assertThat(mixed.quantileNanos(0.99, 7)).isGreaterThan(40 * MILLI_NANOS);
+    assertThat(mixed.quantileNanos(MEDIAN, 7)).isLessThan(2 * MILLI_NANOS);
   }
 
   @Test
   public void anOldWindowIsForgotten() {
     LatencyTracker changing = new LatencyTracker();
     for (int i = 0; i < 60; i++) {
-      changing.record(MILLI, 0);
+      changing.record(MILLI_NANOS, 0);
     }
-    assertThat(changing.quantileNanos(MEDIAN, 7)).isLessThan(2 * MILLI);
+    assertThat(changing.quantileNanos(MEDIAN, 7)).isLessThan(2 * MILLI_NANOS);
     long later = Duration.ofSeconds(6).toNanos();
     for (int i = 0; i < 60; i++) {
-      changing.record(20 * MILLI, later);
+      changing.record(20 * MILLI_NANOS, later);
     }
 
-    assertThat(changing.quantileNanos(MEDIAN, 7)).isGreaterThan(18 * MILLI);
+    assertThat(changing.quantileNanos(MEDIAN, 7)).isGreaterThan(18 * MILLI_NANOS);
   }
 
   @Test
-  public void withFewSamplesNothingIsKnown() {
+  public void fallbackIsReturnedForTooFewSamples() {
     LatencyTracker fresh = new LatencyTracker();
-    fresh.record(MILLI, 0);
+    fresh.record(MILLI_NANOS, 0);
 
     assertThat(fresh.quantileNanos(MEDIAN, 7)).isEqualTo(7);
   }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/once/TicketRegistryTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/once/TicketRegistryTest.java
@@ -17,16 +17,16 @@
  */
 public class TicketRegistryTest {
   private final TicketRegistry<String> registry = new TicketRegistry<>("n1", 7);
-  private final List<String> heard = new ArrayList<>();
+  private final List<String> deliveredOutcomes = new ArrayList<>();
 
   @Test
-  public void resendHearsTheOutcomeOfTheFirst() {
+  public void duplicateGetsTheOutcomeOfTheFirst() {
     Ticket ticket = registry.issue();
     TicketRegistry.Redemption<String> first = redeem(registry, ticket, "f").get().orElseThrow();
     assertThat(redeem(registry, ticket, "f").get()).isEmpty();
     registry.complete(first, "done", Executed.YES);
     assertThat(redeem(registry, ticket, "f").get()).isEmpty();
-    assertThat(heard).containsExactly("done", "done");
+    assertThat(deliveredOutcomes).containsExactly("done", "done");
   }
 
   @Test
@@ -37,7 +37,7 @@
   }
 
   @Test
-  public void ticketOfAnUncertainRequestCannot() {
+  public void ticketOfAnUncertainRequestCannotBeUsedAgain() {
     Ticket ticket = registry.issue();
     registry.complete(redeem(registry, ticket, "f").get().orElseThrow(), "?", Executed.UNKNOWN);
     assertThat(redeem(registry, ticket, "f").get()).isEmpty();
@@ -60,13 +60,13 @@
   }
 
   @Test
-  public void inventedTicketIsRefused() {
+  public void ticketThatWasNeverIssuedIsRefused() {
     assertThat(kind(redeem(registry, new Ticket("n1", 7, Long.MAX_VALUE / 100), "f")))
         .isEqualTo(ErrorKind.MALFORMED_REQUEST);
   }
 
   @Test
-  public void droppedRecordIsNeverRunAgain() {
+  public void ticketWhoseRecordWasDroppedIsRefused() {
     Ticket oldest = registry.issue();
     redeem(registry, oldest, "f");
     for (int i = 0; i < TicketRegistry.MAXIMUM_RECORDS; i++) {
@@ -76,7 +76,7 @@
   }
 
   @Test
-  public void textFormReadsBack() {
+  public void textFormRoundTrips() {
     Ticket ticket = registry.issue();
     assertThat(Ticket.parse(ticket.toString())).contains(ticket);
     assertThat(Ticket.parse("n1~x~1")).isEmpty();
@@ -84,7 +84,7 @@
 
   private Either<QueryError, Optional<TicketRegistry.Redemption<String>>> redeem(
       TicketRegistry<String> target, Ticket ticket, String fingerprint) {
-    return target.redeem(ticket, fingerprint, heard::add);
+    return target.redeem(ticket, fingerprint, deliveredOutcomes::add);
   }
 
   private static ErrorKind kind(Either<QueryError, ?> redemption) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/selector/DayWindowProperties.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/selector/DayWindowProperties.java
@@ -71,7 +71,7 @@
   }
 
   @Example
-  void refusesWhatIsNoWindow() {
+  void refusesMalformedWindows() {
     for (String text :
         new String[] {
           "6-22 UTC",
