--- a/arrowarch-core/src/main/java/io/arrowarch/core/membership/Membership.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/membership/Membership.java
@@ -291,6 +291,7 @@
   }
 
   private void pingThroughOthers(long number, MemberRecord target) {
+    // One more than needed, since the sample may contain the target.
     for (MemberRecord helper : sample(INDIRECT_PINGS + 1)) {
       if (!helper.id().equals(target.id())) {
         send(helper.address(), new PeerBody.PingRequest(number, target.address()));
