--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegateChooser.java
@@ -1,7 +1,7 @@
 package io.arrowarch.core.forward;
 
 import com.google.common.collect.ImmutableList;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.route.Route;
 import java.time.Duration;
 import java.util.HashMap;
@@ -32,11 +32,11 @@
   private final SearchLayout layout;
   private final Gatherers gatherers;
   private final RandomGenerator random;
-  private final Map<NearbyRouter, DelegateState> states = new HashMap<>();
-  private ImmutableList<NearbyRouter> lastNearby = ImmutableList.of();
+  private final Map<LiveRouter, DelegateState> states = new HashMap<>();
+  private ImmutableList<LiveRouter> lastNearby = ImmutableList.of();
 
   /** A router and the shards to delegate to it. */
-  record Choice(NearbyRouter delegate, ImmutableList<String> shards) {}
+  record Choice(LiveRouter delegate, ImmutableList<String> shards) {}
 
   DelegateChooser(
       ForwardOptions options,
@@ -52,7 +52,7 @@
   }
 
   /** The state of a router as a delegate; created on first use. */
-  DelegateState state(NearbyRouter router) {
+  DelegateState state(LiveRouter router) {
     return states.computeIfAbsent(router, added -> new DelegateState());
   }
 
@@ -71,31 +71,31 @@
   }
 
   private void forgetDepartedRouters() {
-    ImmutableList<NearbyRouter> nearby = routers.nearby();
-    if (!nearby.equals(lastNearby)) {
-      lastNearby = nearby;
-      Set<NearbyRouter> present = new HashSet<>(nearby);
+    ImmutableList<LiveRouter> liveRouters = routers.liveRouters();
+    if (!liveRouters.equals(lastNearby)) {
+      lastNearby = liveRouters;
+      Set<LiveRouter> present = new HashSet<>(liveRouters);
       states.keySet().removeIf(router -> !present.contains(router));
     }
   }
 
-  private Optional<NearbyRouter> delegate(ImmutableList<String> group, Route route, long nowNanos) {
+  private Optional<LiveRouter> delegate(ImmutableList<String> group, Route route, long nowNanos) {
     Gatherers.Choice choice = gatherers.of(group);
     if (choice.ownRole() == Gatherers.OwnRole.PRIMARY) {
       return Optional.empty();
     }
-    Optional<NearbyRouter> primary = leastLoaded(choice.primary(), route, nowNanos);
+    Optional<LiveRouter> primary = leastLoaded(choice.primary(), route, nowNanos);
     if (primary.isPresent() || choice.ownRole() == Gatherers.OwnRole.BACKUP) {
       return primary;
     }
     return leastLoaded(choice.backup(), route, nowNanos);
   }
 
-  private Optional<NearbyRouter> leastLoaded(
-      List<NearbyRouter> candidates, Route route, long nowNanos) {
-    Optional<NearbyRouter> best = Optional.empty();
+  private Optional<LiveRouter> leastLoaded(
+      List<LiveRouter> candidates, Route route, long nowNanos) {
+    Optional<LiveRouter> best = Optional.empty();
     double least = Double.MAX_VALUE;
-    for (NearbyRouter router : candidates) {
+    for (LiveRouter router : candidates) {
       DelegateState state = state(router);
       double load = state.load() + random.nextDouble();
       boolean allowed = options.allows(route.regions(), router.zone());
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardingRouter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardingRouter.java
@@ -157,7 +157,7 @@
    * as this one's, and some router must serve the public routes.
    */
   private boolean isWorseThanOthers() {
-    return coordinator.refusesApiKeys() && group.hasOthers() && group.nearby().isEmpty();
+    return coordinator.refusesApiKeys() && group.hasOthers() && group.liveRouters().isEmpty();
   }
 
   /** Begins a planned stop: the router is no longer ready, but still accepts requests. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
@@ -1,7 +1,7 @@
 package io.arrowarch.core.forward;
 
 import com.google.common.collect.ImmutableList;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.time.RouterClock;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -55,8 +55,8 @@
    * @param primaryCount number of primary gatherers in all zones, at least 1
    */
   record Choice(
-      ImmutableList<NearbyRouter> primary,
-      ImmutableList<NearbyRouter> backup,
+      ImmutableList<LiveRouter> primary,
+      ImmutableList<LiveRouter> backup,
       OwnRole ownRole,
       int primaryCount) {}
 
@@ -105,7 +105,7 @@
   }
 
   private Choice choose(ImmutableList<String> group, long nowNanos) {
-    Map<String, List<NearbyRouter>> byZone = routersByZone();
+    Map<String, List<LiveRouter>> byZone = routersByZone();
     boolean knowsTooFewShards = coverage.known(group, nowNanos) < MINIMUM_KNOWN_SHARE;
     List<String> zones =
         knowsTooFewShards
@@ -114,14 +114,14 @@
     double largestCores = largestCores(zones, byZone);
     int allowed = Math.max(1, layout.gatherersAllowed(group.get(0)) / zones.size());
     boolean near = !knowsTooFewShards && zones.contains(options.zone());
-    List<NearbyRouter> primary = new ArrayList<>();
-    List<NearbyRouter> backup = new ArrayList<>();
+    List<LiveRouter> primary = new ArrayList<>();
+    List<LiveRouter> backup = new ArrayList<>();
     OwnRole ownRole = OwnRole.NONE;
     int primaryCount = 0;
     for (String zone : zones) {
-      ImmutableList<NearbyRouter> ranked = ShardGroups.ranked(group, byZone.get(zone));
+      ImmutableList<LiveRouter> ranked = ShardGroups.ranked(group, byZone.get(zone));
       boolean usedFromHere = !near || zone.equals(options.zone());
-      for (NearbyRouter router : ranked.subList(0, Math.min(allowed, ranked.size()))) {
+      for (LiveRouter router : ranked.subList(0, Math.min(allowed, ranked.size()))) {
         boolean isPrimary = router.cores() >= PRIMARY_CORES_FRACTION * largestCores;
         primaryCount += isPrimary ? 1 : 0;
         if (router.id().equals(options.id())) {
@@ -141,17 +141,17 @@
         Math.max(1, primaryCount));
   }
 
-  private Map<String, List<NearbyRouter>> routersByZone() {
-    Map<String, List<NearbyRouter>> byZone = new HashMap<>();
-    for (NearbyRouter router : routers.nearby()) {
+  private Map<String, List<LiveRouter>> routersByZone() {
+    Map<String, List<LiveRouter>> byZone = new HashMap<>();
+    for (LiveRouter router : routers.liveRouters()) {
       byZone.computeIfAbsent(router.zone(), zone -> new ArrayList<>()).add(router);
     }
     byZone.computeIfAbsent(options.zone(), zone -> new ArrayList<>()).add(self());
     return byZone;
   }
 
-  private NearbyRouter self() {
-    return new NearbyRouter(options.id(), 0, options.zone(), "", options.cores());
+  private LiveRouter self() {
+    return new LiveRouter(options.id(), 0, options.zone(), "", options.cores());
   }
 
   /**
@@ -159,7 +159,7 @@
    * zone's.
    */
   private List<String> zonesNearServers(
-      ImmutableList<String> group, Map<String, List<NearbyRouter>> byZone, long nowNanos) {
+      ImmutableList<String> group, Map<String, List<LiveRouter>> byZone, long nowNanos) {
     Map<String, Double> shares = new HashMap<>();
     double best = 0;
     for (String zone : byZone.keySet()) {
@@ -176,10 +176,10 @@
     return near;
   }
 
-  private static double largestCores(List<String> zones, Map<String, List<NearbyRouter>> byZone) {
+  private static double largestCores(List<String> zones, Map<String, List<LiveRouter>> byZone) {
     double largestCores = 0;
     for (String zone : zones) {
-      for (NearbyRouter router : byZone.get(zone)) {
+      for (LiveRouter router : byZone.get(zone)) {
         largestCores = Math.max(largestCores, router.cores());
       }
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterGroup.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterGroup.java
@@ -1,7 +1,7 @@
 package io.arrowarch.core.forward;
 
 import com.google.common.collect.ImmutableList;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.PeerGroup;
 
 /** The routers that share servers and budgets, as known to one of them. */
@@ -10,11 +10,11 @@
   int count();
 
   /** The other routers that answer. The list is the same instance until one of them changes. */
-  ImmutableList<NearbyRouter> nearby();
+  ImmutableList<LiveRouter> liveRouters();
 
   /** Whether other routers exist or existed recently, even if none answers. */
   default boolean hasOthers() {
-    return !nearby().isEmpty();
+    return !liveRouters().isEmpty();
   }
 
   /**
@@ -43,7 +43,7 @@
       }
 
       @Override
-      public ImmutableList<NearbyRouter> nearby() {
+      public ImmutableList<LiveRouter> liveRouters() {
         return ImmutableList.of();
       }
     };
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterPeers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterPeers.java
@@ -6,8 +6,8 @@
 import io.arrowarch.core.event.RouterEvent;
 import io.arrowarch.core.membership.Membership;
 import io.arrowarch.core.peer.DrainMark;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.peer.MemberRecord;
-import io.arrowarch.core.peer.NearbyRouter;
 import io.arrowarch.core.peer.PeerBody;
 import io.arrowarch.core.peer.PeerMessage;
 import io.arrowarch.core.peer.PeerTransport;
@@ -68,7 +68,7 @@
   private final StoreRevisions revisions;
   private final Consumer<PeerMessage> others;
   private ImmutableList<MemberRecord> nearbySource = ImmutableList.of();
-  private ImmutableList<NearbyRouter> nearby = ImmutableList.of();
+  private ImmutableList<LiveRouter> liveRouters = ImmutableList.of();
   private int recentMaximum;
   private long recentMaximumNanos;
 
@@ -119,8 +119,8 @@
   }
 
   /** Sends a message to this router itself, so that the classes for messages are loaded. */
-  public void rehearse() {
-    membership.rehearse();
+  public void pingSelf() {
+    membership.pingSelf();
   }
 
   /** Sends a message to another router; it may be lost. */
@@ -134,8 +134,8 @@
   }
 
   /** Tells the others that a server is draining. */
-  public void tellDrain(String serverId) {
-    membership.tellDrain(new DrainMark(serverId, serverId));
+  public void announceDrain(String serverId) {
+    membership.announceDrain(new DrainMark(serverId, serverId));
   }
 
   /**
@@ -171,13 +171,13 @@
   }
 
   /** The other routers that answer and are not stopping. The list is the same until they change. */
-  public ImmutableList<NearbyRouter> nearby() {
+  public ImmutableList<LiveRouter> liveRouters() {
     ImmutableList<MemberRecord> reachable = membership.reachable();
     if (!isSame(reachable, nearbySource)) {
       nearbySource = reachable;
-      nearby = toNearby(reachable);
+      liveRouters = toLiveRouters(reachable);
     }
-    return nearby;
+    return liveRouters;
   }
 
   /** Compares by identity: comparing the members would cost as much as building the list again. */
@@ -187,12 +187,12 @@
     return members == others;
   }
 
-  private static ImmutableList<NearbyRouter> toNearby(ImmutableList<MemberRecord> members) {
-    ImmutableList.Builder<NearbyRouter> routers = ImmutableList.builder();
+  private static ImmutableList<LiveRouter> toLiveRouters(ImmutableList<MemberRecord> members) {
+    ImmutableList.Builder<LiveRouter> routers = ImmutableList.builder();
     for (MemberRecord member : members) {
       if (member.state() == MemberRecord.State.ALIVE) {
         routers.add(
-            new NearbyRouter(
+            new LiveRouter(
                 member.id(),
                 member.incarnation(),
                 member.zone(),
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/WatchRelays.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/WatchRelays.java
@@ -4,7 +4,7 @@
 import com.google.common.hash.HashFunction;
 import com.google.common.hash.Hashing;
 import io.arrowarch.core.feed.FeedSource;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import io.arrowarch.core.time.RouterClock;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -40,7 +40,7 @@
   private final RouterClock clock;
   private final long ownIdHash;
   private final Map<String, Long> failedNanos = new HashMap<>();
-  private ImmutableList<NearbyRouter> cachedViewSource = ImmutableList.of();
+  private ImmutableList<LiveRouter> cachedViewSource = ImmutableList.of();
   private Optional<View> cachedView = Optional.empty();
   private int queriesAtStart;
   private int queriesAfterGap;
@@ -113,9 +113,9 @@
   /** Returns the view for the routers now known; rebuilt only when that list changes. */
   @SuppressWarnings("ReferenceEquality")
   private View view() {
-    ImmutableList<NearbyRouter> nearby = routers.nearby();
-    if (cachedView.isEmpty() || nearby != cachedViewSource) {
-      cachedViewSource = nearby;
+    ImmutableList<LiveRouter> liveRouters = routers.liveRouters();
+    if (cachedView.isEmpty() || liveRouters != cachedViewSource) {
+      cachedViewSource = liveRouters;
       cachedView = Optional.of(buildView());
     }
     return cachedView.get();
@@ -123,7 +123,7 @@
 
   private View buildView() {
     List<Ranked> others = new ArrayList<>();
-    for (NearbyRouter router : groupPeers()) {
+    for (LiveRouter router : groupPeers()) {
       others.add(new Ranked(router.address(), idHash(router.id())));
     }
     int groupSize = others.size() + 1;
@@ -163,15 +163,15 @@
    * every view must be fresh, all routers share relays, since otherwise each small zone would need
    * its own.
    */
-  private List<NearbyRouter> groupPeers() {
-    List<NearbyRouter> ofZone = new ArrayList<>();
-    for (NearbyRouter router : routers.nearby()) {
+  private List<LiveRouter> groupPeers() {
+    List<LiveRouter> ofZone = new ArrayList<>();
+    for (LiveRouter router : routers.liveRouters()) {
       if (router.zone().equals(options.zone())) {
         ofZone.add(router);
       }
     }
     boolean small = ofZone.size() + 1 < LARGE_ZONE_ROUTERS;
-    return small && options.store().everyView() ? new ArrayList<>(routers.nearby()) : ofZone;
+    return small && options.store().everyView() ? new ArrayList<>(routers.liveRouters()) : ofZone;
   }
 
   @Override
--- a/arrowarch-core/src/test/java/io/arrowarch/core/forward/ShardGroupsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/forward/ShardGroupsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.common.collect.ImmutableList;
-import io.arrowarch.core.peer.NearbyRouter;
+import io.arrowarch.core.peer.LiveRouter;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -29,10 +29,10 @@
   @Test
   public void aRouterThatLeavesDoesNotReorderTheOthers() {
     ImmutableList<String> group = names("shard", 20);
-    ImmutableList<NearbyRouter> routers = routers(20);
-    ImmutableList<NearbyRouter> before = ShardGroups.ranked(group, routers);
-    NearbyRouter departed = before.get(3);
-    ImmutableList<NearbyRouter> remaining =
+    ImmutableList<LiveRouter> routers = routers(20);
+    ImmutableList<LiveRouter> before = ShardGroups.ranked(group, routers);
+    LiveRouter departed = before.get(3);
+    ImmutableList<LiveRouter> remaining =
         routers.stream()
             .filter(router -> !router.equals(departed))
             .collect(ImmutableList.toImmutableList());
@@ -45,7 +45,7 @@
   @Test
   public void theOrderOfTheInputDoesNotMatter() {
     ImmutableList<String> group = names("shard", 20);
-    ImmutableList<NearbyRouter> routers = routers(20);
+    ImmutableList<LiveRouter> routers = routers(20);
 
     assertThat(ShardGroups.ranked(group, routers.reverse()))
         .isEqualTo(ShardGroups.ranked(group, routers));
@@ -53,10 +53,10 @@
 
   @Test
   public void largerMachinesComeFirst() {
-    ImmutableList<NearbyRouter> routers =
-        ImmutableList.<NearbyRouter>builder()
+    ImmutableList<LiveRouter> routers =
+        ImmutableList.<LiveRouter>builder()
             .addAll(routers(10))
-            .add(new NearbyRouter("large", 1, "zone", "10.0.0.1:1", 2))
+            .add(new LiveRouter("large", 1, "zone", "10.0.0.1:1", 2))
             .build();
 
     assertThat(ShardGroups.ranked(names("shard", 20), routers).get(0).id()).isEqualTo("large");
@@ -64,10 +64,10 @@
 
   @Test
   public void groupsAreSpreadOverTheRouters() {
-    ImmutableList<NearbyRouter> routers = routers(20);
-    Map<NearbyRouter, Integer> gathered = new HashMap<>();
+    ImmutableList<LiveRouter> routers = routers(20);
+    Map<LiveRouter, Integer> gathered = new HashMap<>();
     for (ImmutableList<String> group : ShardGroups.split(names("shard", 400), 40)) {
-      for (NearbyRouter router : ShardGroups.ranked(group, routers).subList(0, 5)) {
+      for (LiveRouter router : ShardGroups.ranked(group, routers).subList(0, 5)) {
         gathered.merge(router, 1, Integer::sum);
       }
     }
@@ -76,9 +76,9 @@
     assertThat(gathered.values()).allMatch(groups -> groups >= 3 && groups <= 18);
   }
 
-  private static ImmutableList<NearbyRouter> routers(int count) {
+  private static ImmutableList<LiveRouter> routers(int count) {
     return names("router", count).stream()
-        .map(id -> new NearbyRouter(id, 1, "zone", "10.0.0.1:1", 1))
+        .map(id -> new LiveRouter(id, 1, "zone", "10.0.0.1:1", 1))
         .collect(ImmutableList.toImmutableList());
   }
 
