--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/AdmissionControl.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/AdmissionControl.java
@@ -4,7 +4,7 @@
 
 /** Refuses queries that would wait too long for room at back ends, before any attempt is sent. */
 final class AdmissionControl {
-  /** Work already waiting may use up this part of the deadline. */
+  /** The largest part of the time left that a query may be expected to wait in queues. */
   private static final double MAXIMUM_WAIT_FRACTION = 0.4;
 
   private static final double TYPICAL_QUANTILE = 0.5;
@@ -17,7 +17,10 @@
     this.maximumQueries = maximumQueries;
   }
 
-  /** Whether a prepared query may start. */
+  /**
+   * Whether a prepared query may start. The expected wait of a shard is that at its least busy
+   * replica: the length of the queue, divided by the concurrency limit, times the median latency.
+   */
   boolean admits(QueryExecution execution, long nowNanos) {
     if (dispatcher.executions().size() >= maximumQueries) {
       return false;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptDispatcher.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptDispatcher.java
@@ -20,8 +20,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Starts, matches and ends attempts. An attempt is in the registry from its start until its outcome
- * is seen or nothing waits for it; whatever arrives for an attempt that is not there is dropped.
+ * Starts attempts, matches replies and failures to them, and ends them. An attempt is registered
+ * from its start until its outcome is known or it is cancelled. A reply or failure of an attempt
+ * that is not registered is dropped.
  */
 final class AttemptDispatcher {
   private static final long MINIMUM_DEADLINE_MILLIS = 1;
@@ -78,12 +79,15 @@
     return waitingShards.length(backendId);
   }
 
-  /** A random length between half of the given one and all of it. */
+  /** A random duration between half of the given one and all of it. */
   long jitter(long nanos) {
     return nanos / 2 + random.nextLong(nanos / 2 + 1);
   }
 
-  /** When a caller that is refused should come back; spread, so that they do not come together. */
+  /**
+   * How long a refused caller should wait before it retries. The duration is random, so that
+   * callers refused together do not retry together.
+   */
   Duration retryAfter() {
     return MINIMUM_RETRY_AFTER.plusMillis(random.nextLong(RETRY_AFTER_SPREAD.toMillis()));
   }
@@ -98,6 +102,7 @@
     return chooser.choose(candidates);
   }
 
+  /** Whether a hedge may be sent now. If so, it is charged to the budget, where one applies. */
   boolean mayHedge(ExtraAttemptBudget budget) {
     if (!permit.isConfirmed(nowNanos())) {
       return false;
@@ -164,10 +169,11 @@
   }
 
   /**
-   * Cancels what is outstanding for a shard.
+   * Cancels the outstanding attempts of a shard.
    *
-   * @param winnerStartNanos when the attempt that answered was started; an older one that is
-   *     cancelled was overtaken, which counts against its back end
+   * @param winnerStartNanos when the attempt that answered was started. A cancelled attempt that
+   *     started earlier counts as a failure of its back end. {@code Long.MAX_VALUE} when no attempt
+   *     answered; the cancelled attempts then don't count against their back ends
    */
   void cancelOutstanding(ShardProgress progress, long winnerStartNanos) {
     for (OutstandingAttempt outstanding : ImmutableList.copyOf(progress.outstanding())) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptFailure.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptFailure.java
@@ -1,14 +1,14 @@
 package io.arrowarch.core.query;
 
-/** How an attempt failed without a reply. */
+/** Why an attempt ended without a valid reply. */
 public enum AttemptFailure {
   /** No connection could be opened; nothing was written. */
   UNREACHABLE(false),
-  /** Nothing was written, for another reason: {@link QueryCoordinator#mayWrite} said no. */
+  /** Nothing was written, because {@link QueryCoordinator#mayWrite} returned false. */
   NOT_WRITTEN(false),
   /** The connection broke after writing began. */
   CONNECTION_LOST(true),
-  /** The reply was not a whole, well-formed message. */
+  /** The reply was truncated or malformed, or named another attempt. */
   GARBLED_REPLY(true);
 
   private final boolean maybeRun;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptPurpose.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptPurpose.java
@@ -2,10 +2,10 @@
 
 /** Why an attempt is made. */
 enum AttemptPurpose {
-  /** The first for its shard. */
+  /** The first attempt for its shard. */
   FIRST,
-  /** Beside an outstanding one that is slow. */
+  /** An additional attempt while an outstanding one is slow. */
   HEDGE,
-  /** After an earlier one failed or was refused. */
+  /** A new attempt after an earlier one failed or was refused. */
   RETRY
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptTransport.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptTransport.java
@@ -1,14 +1,14 @@
 package io.arrowarch.core.query;
 
 /**
- * Carries attempts to back ends. Implementations report each attempt exactly once to {@link
- * QueryCoordinator}: a reply, or a failure. They ask {@link QueryCoordinator#mayWrite} immediately
- * before the first byte is written, and never send an attempt twice by themselves.
+ * Sends attempts to back ends. Implementations report the outcome of each attempt exactly once to
+ * {@link QueryCoordinator}, as a reply or as a failure. They call {@link QueryCoordinator#mayWrite}
+ * immediately before they write the first byte, and never resend an attempt on their own.
  */
 public interface AttemptTransport {
   /** Starts sending an attempt. */
   void send(Attempt attempt);
 
-  /** Stops an attempt that no answer waits for any more; no report is needed afterwards. */
+  /** Stops an attempt whose outcome is no longer needed. It need not be reported afterwards. */
   void cancel(Attempt attempt);
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/Coverage.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/Coverage.java
@@ -6,17 +6,18 @@
 import java.util.function.Predicate;
 
 /**
- * How much of the data an answer is drawn from.
+ * How much of the data an answer covers.
  *
- * @param shardsAsked shards of the layout that the query is about
- * @param shardsAnswered those whose result is in the answer
- * @param fraction share of the data that they hold, of the share asked; from 0 to 1
+ * @param shardsAsked number of shards that the query addresses
+ * @param shardsAnswered number of those whose result is in the answer
+ * @param fraction data held by the answered shards divided by data held by the asked shards; from 0
+ *     to 1
  * @param missing names of the shards whose result is not in the answer
  */
 public record Coverage(
     int shardsAsked, int shardsAnswered, double fraction, ImmutableList<String> missing) {
 
-  /** The coverage of the shards asked, given which of them answered. */
+  /** The coverage of a query, given the shards asked and which of them answered. */
   static Coverage of(List<Shard> asked, Predicate<Shard> answered) {
     ImmutableList.Builder<String> missing = ImmutableList.builder();
     double askedShare = 0;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/ExecutionEvidence.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/ExecutionEvidence.java
@@ -2,7 +2,7 @@
 
 import io.arrowarch.core.error.Executed;
 
-/** What is proven about execution over all attempts of one query. */
+/** What is known about execution from all attempts of one query. */
 final class ExecutionEvidence {
   private boolean ran;
   private boolean uncertain;
@@ -16,9 +16,9 @@
   }
 
   /**
-   * The claim that the evidence supports.
+   * Whether the query has been executed, as far as the evidence shows.
    *
-   * @param attemptsOutstanding attempts whose outcome has not been seen
+   * @param attemptsOutstanding number of attempts whose outcome is not yet known
    */
   Executed conclude(int attemptsOutstanding) {
     if (ran) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/KindState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/KindState.java
@@ -3,7 +3,7 @@
 import io.arrowarch.core.hedge.ExtraAttemptBudget;
 import io.arrowarch.core.hedge.LatencyTracker;
 
-/** What a router keeps for one query kind between queries. */
+/** State of one query kind that a router keeps across queries. */
 final class KindState {
   private final double budgetFraction;
   private final ExtraAttemptBudget budget;
@@ -19,7 +19,7 @@
     return new KindState(budgetFraction, new LatencyTracker());
   }
 
-  /** This state when the budget is unchanged, else one with a new budget and the same latencies. */
+  /** This state if the fraction is unchanged, else one with a new budget and the same latencies. */
   KindState withBudget(double fraction) {
     return fraction == budgetFraction ? this : new KindState(fraction, latencies);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/NodeIdentity.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/NodeIdentity.java
@@ -3,11 +3,11 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * Who a router is.
+ * Identifies a router and its incarnation.
  *
- * @param id its configured name, kept over restarts
- * @param zone where it runs
- * @param incarnation differs after every restart, and rises
+ * @param id configured name, the same after a restart
+ * @param zone name of the zone in which it runs
+ * @param incarnation rises with every restart
  */
 public record NodeIdentity(String id, String zone, long incarnation) {
   public NodeIdentity {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryAnswer.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryAnswer.java
@@ -6,7 +6,8 @@
 import java.util.Optional;
 
 /**
- * A successful answer. Its results all come from one layout and one index snapshot.
+ * A successful answer, full or partial. All its results come from one layout and one index
+ * snapshot.
  *
  * @param layout layout id
  * @param snapshot the index snapshot; empty for posts, which read no index
@@ -22,7 +23,7 @@
     ImmutableList<SearchHit> hits,
     Optional<JsonNode> document) {
 
-  /** The same answer to a resend of the request. */
+  /** The same answer with the request id of a resent request. */
   public QueryAnswer withRequestId(String resendId) {
     return new QueryAnswer(resendId, kind, layout, snapshot, coverage, hits, document);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryCoordinator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryCoordinator.java
@@ -19,8 +19,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Runs the queries of one router. All calls, and all callbacks that it makes, are on one thread or
- * otherwise serialised by the owner.
+ * Runs the queries of one router. Not thread-safe: the owner makes all calls on one thread or
+ * serialises them, together with the callbacks of this class.
  */
 public final class QueryCoordinator {
   private final RouterClock clock;
@@ -57,7 +57,7 @@
     this.admission = new AdmissionControl(dispatcher, maximumQueries);
   }
 
-  /** Takes a configuration for new queries; those in progress stay on theirs. */
+  /** Applies a configuration to new queries. Queries in progress keep theirs. */
   public void reconfigure(Configuration configuration) {
     planner.reconfigure(configuration);
     kindStates.keySet().retainAll(configuration.kinds().keySet());
@@ -69,12 +69,12 @@
     }
   }
 
-  /** The configuration that new queries are planned with. */
+  /** The configuration that applies to new queries. */
   public Optional<Configuration> configuration() {
     return planner.configuration();
   }
 
-  /** What the selectors choose now; for status pages. */
+  /** The back ends that the selectors choose for a kind now; for status pages. */
   public Selection select(QueryKind kind) {
     return planner.select(kind, clock.wallTime());
   }
@@ -82,8 +82,8 @@
   /**
    * Runs a query.
    *
-   * @param arrivalNanos when the request was received; its deadline counts from there
-   * @param sink told the outcome exactly once, perhaps before this method returns
+   * @param arrivalNanos when the request was received; its deadline is counted from then
+   * @param sink receives the outcome exactly once, possibly before this method returns
    */
   public void submit(
       QueryRequest request, long arrivalNanos, Consumer<Either<QueryError, QueryAnswer>> sink) {
@@ -97,36 +97,39 @@
     run(createExecution(request, arrivalNanos, kind.get(), sink));
   }
 
-  /** Takes the reply to an attempt. Replies that nothing waits for are counted and dropped. */
+  /** Handles a reply. A reply to an attempt that is not outstanding is counted and dropped. */
   public void onReply(String attemptId, BackendReply reply) {
     dispatcher.onReply(attemptId, reply);
   }
 
-  /** Takes the failure of an attempt. */
+  /** Handles the failure of an attempt. */
   public void onFailure(String attemptId, AttemptFailure failure) {
     dispatcher.onFailure(attemptId, failure);
   }
 
   /**
-   * Whether an attempt may still be written. Asked at the last moment, since the process may have
-   * slept since the attempt was started; the transport reports {@link AttemptFailure#NOT_WRITTEN}
-   * when the answer is no.
+   * Whether an attempt may still be written. The transport calls this immediately before it writes,
+   * because the process may have been suspended since the attempt was started. If the result is
+   * false, the transport reports {@link AttemptFailure#NOT_WRITTEN}.
    */
   public boolean mayWrite(String attemptId) {
     return dispatcher.mayWrite(attemptId);
   }
 
-  /** When a caller that is refused should come back; spread, so that they do not come together. */
+  /**
+   * How long a refused caller should wait before it retries. The duration is random, so that
+   * callers refused together do not retry together.
+   */
   public Duration retryAfter() {
     return dispatcher.retryAfter();
   }
 
-  /** Queries in progress. */
+  /** Number of queries in progress. */
   public int inProgress() {
     return dispatcher.executions().size();
   }
 
-  /** Counts since the start. */
+  /** Counters since the router started. */
   public QueryCounters counters() {
     return counters;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryCounters.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryCounters.java
@@ -1,6 +1,6 @@
 package io.arrowarch.core.query;
 
-/** Counts since the router started, for metrics. Read and written on the router's own thread. */
+/** Counters since the router started, for metrics. Used on the router's own thread only. */
 public final class QueryCounters {
   private long queries;
   private long answers;
@@ -63,22 +63,22 @@
     return partialAnswers;
   }
 
-  /** Queries answered by an error. */
+  /** Queries that ended with an error. */
   public long errors() {
     return errors;
   }
 
-  /** First attempts for a shard. */
+  /** Attempts that were the first for their shard. */
   public long firstAttempts() {
     return firstAttempts;
   }
 
-  /** Attempts started beside a slow one. */
+  /** Attempts started while an earlier one for the shard was slow. */
   public long hedges() {
     return hedges;
   }
 
-  /** Attempts started after a failed one. */
+  /** Attempts started after an earlier one failed or was refused. */
   public long retries() {
     return retries;
   }
@@ -88,12 +88,12 @@
     return replans;
   }
 
-  /** Replies to attempts that nothing waited for any more. */
+  /** Replies to attempts that were no longer outstanding. */
   public long lateReplies() {
     return lateReplies;
   }
 
-  /** Replies that named another attempt, shard, layout or snapshot than asked. */
+  /** Replies that named another attempt, shard, layout or snapshot than the request. */
   public long invalidReplies() {
     return invalidReplies;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
@@ -18,8 +18,8 @@
 import java.util.function.Consumer;
 
 /**
- * The state machine of one query: scatter, hedge, gather, answer. It answers exactly once, and
- * starts no attempt after that.
+ * The state machine of one query. It sends attempts to all shards, hedges and retries them, and
+ * merges the replies. It delivers exactly one outcome and starts no attempt after that.
  */
 final class QueryExecution {
   private static final int MAXIMUM_REPLANS = 2;
@@ -93,7 +93,7 @@
     return finished;
   }
 
-  /** Plans without sending anything, so that admission can look at the plan. */
+  /** Plans the query without sending anything, so that admission control can check the plan. */
   void prepare(long nowNanos) {
     plan = planner.plan(this, selection, nowNanos);
   }
@@ -104,7 +104,7 @@
     scatter(nowNanos);
   }
 
-  /** Ends the query with an error that arose before any attempt. */
+  /** Ends the query with an error before any attempt is sent. */
   void refuse(QueryError error) {
     finish(Either.left(error));
   }
@@ -122,7 +122,10 @@
     scheduleHedges(planNumber, nowNanos + hedgeDelayNanos);
   }
 
-  /** Sends the next attempt of a shard, lets it wait for room, or gives it up. */
+  /**
+   * Sends the next attempt for a shard. Without room at any eligible replica, the shard is queued;
+   * without any eligible replica, the shard is lost.
+   */
   void tryStart(ShardProgress progress, AttemptPurpose purpose, long nowNanos) {
     ImmutableList<ReplicaState> eligible = dispatcher.eligible(progress.untried(), nowNanos);
     if (eligible.isEmpty()) {
@@ -137,7 +140,7 @@
     }
   }
 
-  /** Takes a reply that belongs to this query; the dispatcher has removed the attempt. */
+  /** Handles a reply to an attempt of this query. The dispatcher has removed the attempt. */
   AttemptResult onReply(OutstandingAttempt attempt, BackendReply reply, long nowNanos) {
     return switch (reply.outcome()) {
       case OK -> onSuccess(attempt, reply, nowNanos);
@@ -150,7 +153,7 @@
     };
   }
 
-  /** Takes a failure without a reply. */
+  /** Handles an attempt that failed without a valid reply. */
   void onFailure(OutstandingAttempt attempt, AttemptFailure failure, long nowNanos) {
     if (failure.maybeRun()) {
       evidence.maybeRan();
@@ -225,7 +228,10 @@
         });
   }
 
-  /** Starts over on a snapshot that is still held. False when that is not possible any more. */
+  /**
+   * Restarts the query with a new plan, on a snapshot that replicas still hold. Returns false if
+   * the query is finished, has no replan left or is past its deadline.
+   */
   private boolean replan(long nowNanos) {
     if (finished || replans >= MAXIMUM_REPLANS || nowNanos >= deadlineNanos) {
       return false;
@@ -290,7 +296,10 @@
     }
   }
 
-  /** Gives the query up at once when too many shards are lost for the kind's minimum. */
+  /**
+   * Ends the query with an error as soon as the lost shards make the kind's minimum coverage
+   * unreachable. Returns whether the query is finished.
+   */
   private boolean finishIfHopeless() {
     if (finished) {
       return true;
@@ -366,7 +375,7 @@
     sink.accept(outcome);
   }
 
-  /** Settles every shard before cancelling any, so that freed room goes to other queries. */
+  /** Settles every shard before cancelling attempts, so that the room goes to other queries. */
   private void abandonPlan() {
     plan.shards().forEach(ShardProgress::onLost);
     for (ShardProgress progress : plan.shards()) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryPlan.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryPlan.java
@@ -6,8 +6,8 @@
 import java.util.function.Predicate;
 
 /**
- * What one query is pinned to, with the progress of its shards. A query that is planned again gets
- * a new plan and keeps nothing of the old one.
+ * The snapshot to which a query is pinned, and the progress of its shards. Replanning creates a new
+ * plan; nothing of the old one is kept.
  */
 record QueryPlan(Optional<Long> snapshot, ImmutableList<ShardProgress> shards) {
   boolean isSettled() {
@@ -18,7 +18,7 @@
     return coverageIf(ShardProgress::isAnswered);
   }
 
-  /** The coverage that is left if every shard that is not lost answers. */
+  /** The coverage if every shard that is not lost answers. */
   Coverage bestCoverage() {
     return coverageIf(progress -> !progress.isLost());
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryPlanner.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryPlanner.java
@@ -13,7 +13,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Turns a query into a {@link QueryPlan}: selectors, then usable replicas, then the snapshot. */
+/**
+ * Creates the {@link QueryPlan} of a query: applies the selectors, looks up the usable replicas,
+ * and chooses the snapshot.
+ */
 final class QueryPlanner {
   private static final int SECONDS_PER_MINUTE = 60;
 
@@ -22,7 +25,7 @@
   private final Map<String, CachedSelection> selections = new HashMap<>();
   private Optional<Configuration> configuration = Optional.empty();
 
-  /** A selection; windows open and close on whole minutes. */
+  /** A selection for one minute: the time windows of rules open and close on whole minutes. */
   private record CachedSelection(long epochMinute, Selection selection) {}
 
   QueryPlanner(String zone, ReplicaTable replicas) {
@@ -39,7 +42,7 @@
     return configuration;
   }
 
-  /** What the selectors choose for a kind at this minute. */
+  /** The back ends that the selectors choose for a kind in this minute. */
   Selection select(QueryKind kind, Instant wallTime) {
     long epochMinute = Math.floorDiv(wallTime.getEpochSecond(), SECONDS_PER_MINUTE);
     CachedSelection cached = selections.get(kind.name());
@@ -51,7 +54,7 @@
     return cached.selection();
   }
 
-  /** Plans a query on the kind and selection that it was admitted with. */
+  /** Plans a query with the kind and selection of its admission, also when it is a replan. */
   QueryPlan plan(QueryExecution execution, Selection selection, long nowNanos) {
     QueryKind kind = execution.kind();
     ImmutableListMultimap<String, ReplicaState> usable = usableReplicas(selection, nowNanos);
@@ -84,7 +87,7 @@
     return ImmutableList.of(kind.layout().shardOfKey(key));
   }
 
-  /** The replicas that may answer for a shard; a search asks only holders of its snapshot. */
+  /** The progress of a shard. A search goes only to replicas that hold its snapshot. */
   private static ShardProgress progressOf(
       QueryExecution execution,
       Shard shard,
@@ -101,7 +104,7 @@
     return new ShardProgress(execution, shard, candidates);
   }
 
-  /** False without a snapshot: unpinned, every shard could answer from another one. */
+  /** False without a snapshot: in an unpinned search, shards could answer from different ones. */
   private static boolean holds(ReplicaState replica, QueryKind kind, Optional<Long> snapshot) {
     return snapshot.isPresent() && SnapshotChooser.holds(replica, kind.layout(), snapshot.get());
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryRequest.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryRequest.java
@@ -11,11 +11,12 @@
  *
  * @param requestId the caller's own id, repeated in the answer
  * @param kind name of the query kind
- * @param deadline time allowed from receipt; the kind's own when empty or larger
- * @param limit the most hits wanted of a search
+ * @param deadline time allowed from receipt; the kind's own deadline applies when this is empty or
+ *     longer
+ * @param limit maximum number of hits of a search
  * @param key document key of single-shard kinds
  * @param ticket the ticket of a non-repeatable request, in text form
- * @param body passed on to back ends
+ * @param body passed to back ends unchanged
  */
 public record QueryRequest(
     String requestId,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/ResultMerger.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/ResultMerger.java
@@ -8,7 +8,8 @@
 import java.util.stream.Stream;
 
 /**
- * Merges the hits of shards: best score first, ties by id, so that the order is always the same.
+ * Merges the hits of shards, highest score first. Ties are ordered by id, so that the order is
+ * deterministic.
  */
 final class ResultMerger {
   private static final Comparator<SearchHit> BEST_FIRST =
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/ServingPermit.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/ServingPermit.java
@@ -1,7 +1,7 @@
 package io.arrowarch.core.query;
 
-/** Whether the router may start work on the strength of its configuration. */
+/** Tells whether the router's configuration is confirmed. No attempt is written while it is not. */
 public interface ServingPermit {
-  /** Whether the configuration in force is confirmed at this moment. */
+  /** Whether the configuration in force is confirmed at the given time. */
   boolean isConfirmed(long nowNanos);
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/ShardProgress.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/ShardProgress.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The state of one shard within one plan of one query. */
+/** The progress of one shard within one plan of a query. */
 final class ShardProgress {
   private final QueryExecution execution;
   private final Shard shard;
@@ -43,7 +43,7 @@
     return candidates;
   }
 
-  /** Candidates that no attempt of this plan has gone to. */
+  /** Candidates to which no attempt of this plan has been sent since the last backoff. */
   ImmutableList<ReplicaState> untried() {
     return candidates.stream()
         .filter(candidate -> !triedBackends.contains(candidate.backend().id()))
@@ -87,7 +87,7 @@
     waitingPurpose = purpose;
   }
 
-  /** Why the attempt that waits for room is wanted. */
+  /** The purpose of the attempt that waits for room. */
   AttemptPurpose waitingPurpose() {
     return waitingPurpose;
   }
@@ -104,7 +104,7 @@
     outstanding.remove(attempt);
   }
 
-  /** Lets every candidate be tried again, after a backoff. */
+  /** Allows every candidate to be tried again, for a retry after a backoff. */
   void forgetTried() {
     triedBackends.clear();
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/SnapshotChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/SnapshotChooser.java
@@ -8,13 +8,13 @@
 import java.util.Optional;
 import java.util.TreeSet;
 
-/** Chooses the index snapshot that a query is pinned to. */
+/** Chooses the index snapshot to which a query is pinned. */
 final class SnapshotChooser {
   private SnapshotChooser() {}
 
   /**
-   * The snapshot that the usable replicas cover most of the layout with; the newest of equals.
-   * Empty when no replica reports any.
+   * The snapshot that the usable replicas hold for the largest share of the layout; the newest of
+   * several with that share. Empty when no replica reports a snapshot.
    */
   static Optional<Long> choose(Layout layout, ListMultimap<String, ReplicaState> usable) {
     TreeSet<Long> reported = new TreeSet<>();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/WaitingShards.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/WaitingShards.java
@@ -7,11 +7,14 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Shards that wait for room at any of their replicas, first come first served per replica. */
+/** Shards that wait for room at any of their replicas, in one FIFO queue for each replica. */
 final class WaitingShards {
   private final Map<String, ArrayDeque<ShardProgress>> queues = new HashMap<>();
 
-  /** Queues a shard at replicas that may take it once they have room. */
+  /**
+   * Queues a shard at the replicas that may take it once they have room. With a replica that may
+   * not take it, the caller would poll the shard and queue it there again without end.
+   */
   void add(ShardProgress progress, List<ReplicaState> eligible, AttemptPurpose purpose) {
     progress.startWaiting(purpose);
     for (ReplicaState candidate : eligible) {
@@ -19,7 +22,7 @@
     }
   }
 
-  /** Takes the shard that has waited longest for this back end. */
+  /** Removes the shard that has waited longest for this back end. */
   Optional<ShardProgress> poll(String backendId) {
     ArrayDeque<ShardProgress> queue = queueOf(backendId);
     while (!queue.isEmpty()) {
@@ -31,7 +34,7 @@
     return Optional.empty();
   }
 
-  /** How many entries wait for this back end; entries that have found another are counted too. */
+  /** Length of the queue, including shards that no longer wait and have not been removed yet. */
   int length(String backendId) {
     return queueOf(backendId).size();
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/AttemptResult.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/AttemptResult.java
@@ -1,15 +1,17 @@
 package io.arrowarch.core.replica;
 
-/** What an attempt says about the back end that it went to. */
+/** What the outcome of an attempt says about the health of its back end. */
 public enum AttemptResult {
   /** A valid reply. */
   SUCCESS,
   /** A refusal because of load. */
   SHED,
-  /** A time-out, broken connection, or invalid reply. */
+  /**
+   * A failed request, lost connection or invalid reply, or an attempt that a later one overtook.
+   */
   FAILURE,
   /** No connection could be opened. */
   UNREACHABLE,
-  /** Nothing about health: cancelled, or refused for another reason than load. */
+  /** Nothing: not written, cancelled, or refused for another reason than load. */
   NEUTRAL
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/ConcurrencyLimit.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/ConcurrencyLimit.java
@@ -1,8 +1,9 @@
 package io.arrowarch.core.replica;
 
 /**
- * How many attempts this router keeps in flight at one back end. Additive increase on success while
- * the limit is in use, multiplicative decrease on refusal, between 1 and a maximum.
+ * How many attempts this router may keep in flight at one back end, from 1 to a maximum. The limit
+ * follows additive increase, multiplicative decrease: it rises on a success while it is fully used,
+ * and falls when the back end sheds load.
  */
 final class ConcurrencyLimit {
   private static final double DECREASE_FACTOR = 0.7;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/IneligibleReason.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/IneligibleReason.java
@@ -14,7 +14,7 @@
     this.description = description;
   }
 
-  /** A sentence fragment for operators. */
+  /** The reason in words, for operators. */
   public String description() {
     return description;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/ProbeTransport.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/ProbeTransport.java
@@ -2,7 +2,7 @@
 
 import io.arrowarch.core.topology.Backend;
 
-/** Asks back ends for their report; a probe that is not answered is not reported. */
+/** Asks back ends for their reports. A probe that is not answered has no further effect. */
 public interface ProbeTransport {
   /** Sends a probe. */
   void probe(Backend backend);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/Prober.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/Prober.java
@@ -6,8 +6,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Probes every back end at a jittered interval, so that each is heard of well within {@link
- * ReplicaState#FRESHNESS_BOUND} while it lives.
+ * Probes every back end at a jittered interval, so that each live one reports well within {@link
+ * ReplicaState#FRESHNESS_BOUND}.
  */
 public final class Prober {
   private static final Duration INTERVAL = Duration.ofMillis(700);
@@ -20,7 +20,7 @@
   private final ReplicaTable replicas;
   private final ProbeTransport transport;
 
-  /** Creates a prober; {@link #start} begins. */
+  /** Creates a prober, which sends nothing before {@link #start}. */
   public Prober(
       RouterClock clock,
       TimerQueue timers,
@@ -34,12 +34,12 @@
     this.transport = transport;
   }
 
-  /** Starts the ticks. */
+  /** Starts periodic probing. */
   public void start() {
     tick();
   }
 
-  /** Probes every back end now; for a router that has no fresh report of any. */
+  /** Probes every back end now; for a router that has no fresh reports. */
   public void probeAll() {
     replicas.all().forEach(replica -> transport.probe(replica.backend()));
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaState.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.function.IntSupplier;
 
-/** What this router knows of one back end: its incarnation, drain marks, load, limit, failures. */
+/** What this router knows of one back end: incarnation, drain marks, load, limit and failures. */
 public final class ReplicaState {
-  /** A back end not heard of for this long gets no new work until a probe is answered. */
+  /** A back end without a report for this long gets no new work until its next report. */
   public static final Duration FRESHNESS_BOUND = Duration.ofSeconds(2);
 
   private static final int FAILURES_TO_EJECT = 3;
@@ -25,7 +25,7 @@
   private Optional<BackendReport> report = Optional.empty();
   private boolean listedAsLeaving;
 
-  /** The incarnation that the platform's list means; the list itself does not name one. */
+  /** The incarnation that the platform's list marks as leaving; the list itself names none. */
   private Optional<String> listMarkedIncarnation = Optional.empty();
 
   private long lastHeardNanos;
@@ -51,12 +51,12 @@
     return report;
   }
 
-  /** Attempts of this router that are outstanding. */
+  /** Number of attempts of this router that are outstanding. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** Own attempts in flight plus what the back end last reported as waiting. */
+  /** This router's attempts in flight plus the requests last reported as waiting. */
   public int load() {
     return inFlight + report.map(BackendReport::waiting).orElse(0);
   }
@@ -71,7 +71,7 @@
     return limit.current();
   }
 
-  /** Why the back end gets no new work now, or empty when it may. */
+  /** Why the back end gets no new work now; empty if it may get some. */
   public Optional<IneligibleReason> ineligibleReason(long nowNanos) {
     if (report.isEmpty()) {
       return Optional.of(IneligibleReason.NEVER_HEARD);
@@ -88,12 +88,12 @@
     return Optional.empty();
   }
 
-  /** Whether failures in a row have put the back end aside; a floor may still use it. */
+  /** Whether consecutive failures have ejected it; it is still used where no other is left. */
   public boolean isEjected(long nowNanos) {
     return nowNanos < ejectedUntilNanos;
   }
 
-  /** The snapshots that it last reported for a layout. */
+  /** The snapshots that the back end last reported for a layout. */
   public Set<Long> snapshots(String layoutId) {
     return report
         .map(latest -> latest.snapshots().getOrDefault(layoutId, ImmutableSet.of()))
@@ -113,7 +113,7 @@
     backend = updated;
   }
 
-  /** Takes a report; returns whether it marks a drain not known before. */
+  /** Applies a report; returns whether it reports a drain that was not known before. */
   boolean onReport(BackendReport latest, long nowNanos) {
     boolean restarted =
         report.isPresent() && !report.get().incarnation().equals(latest.incarnation());
@@ -129,14 +129,14 @@
     return latest.draining() && drainingIncarnations.add(latest.incarnation());
   }
 
-  /** Marks an incarnation as draining; returns whether this was news. */
+  /** Marks an incarnation as draining; returns whether it was not marked before. */
   boolean onDrainMark(String incarnation) {
     return drainingIncarnations.add(incarnation);
   }
 
   /**
-   * Takes the word of the platform's list. It holds for the incarnation that runs when the word
-   * first arrives: the list lags, and a restarted back end must not inherit it.
+   * Applies the platform's list. A leaving mark applies to the incarnation that runs when the mark
+   * first arrives: the list lags, and a restarted back end must not inherit the mark.
    */
   void onListed(boolean leaving) {
     if (leaving && !listedAsLeaving) {
@@ -151,12 +151,12 @@
     return listedAsLeaving && report.map(BackendReport::incarnation).equals(listMarkedIncarnation);
   }
 
-  /** Notes a refused connection: no new work until the next report. */
+  /** Records that no connection could be opened: no new work until the next report. */
   void onUnreachable(long nowNanos) {
     lastHeardNanos = nowNanos - FRESHNESS_BOUND.toNanos() - 1;
   }
 
-  /** Counts down to the next probe; returns whether it is due. */
+  /** Counts one tick down to the next probe; returns whether the probe is due. */
   boolean takeProbeTick(IntSupplier nextTicks) {
     ticksToProbe--;
     if (ticksToProbe > 0) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaTable.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaTable.java
@@ -13,11 +13,11 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-/** All back ends that this router knows, by id. Owned by one router; not thread-safe. */
+/** All back ends known to one router, by id. Not thread-safe. */
 public final class ReplicaTable {
   private final Map<String, ReplicaState> replicas = new LinkedHashMap<>();
 
-  /** Marks for back ends that no configuration has named yet. */
+  /** Drain marks from peers for back ends that are not in the configuration. */
   private final Map<String, Set<String>> earlyDrainMarks = new HashMap<>();
 
   private final BiConsumer<String, String> onNewDrainMark;
@@ -25,15 +25,16 @@
   /**
    * Creates an empty table.
    *
-   * @param onNewDrainMark told the back end and incarnation of each drain that this router learns
-   *     from the back end itself, so that peers can be told
+   * @param onNewDrainMark receives the back end's id and incarnation for each drain that this
+   *     router learns from the back end itself, so that peers can be notified
    */
   public ReplicaTable(BiConsumer<String, String> onNewDrainMark) {
     this.onNewDrainMark = onNewDrainMark;
   }
 
   /**
-   * Takes the back ends of a configuration; what is known of those that stay is kept.
+   * Applies the back ends of a configuration. Those that remain at the same address keep their
+   * state.
    *
    * @param routers how many routers share the connections of each back end
    */
@@ -53,7 +54,9 @@
     earlyDrainMarks.keySet().removeAll(backends.keySet());
   }
 
-  /** Within the server's slots and this router's share of its connections, less one for probes. */
+  /**
+   * The back end's slots, or this router's share of its connections less one for probes if lower.
+   */
   private static int maximumInFlight(Backend backend, int routers) {
     int share = backend.connections() / Math.max(1, routers) - 1;
     return Math.max(1, Math.min(backend.slots(), share));
@@ -69,7 +72,7 @@
     return replicas.values();
   }
 
-  /** The replicas among the given back ends that may get new work; ejected ones only as a floor. */
+  /** The given back ends that may get new work; ejected ones only where no other is left. */
   public ImmutableList<ReplicaState> usable(Collection<Backend> selected, long nowNanos) {
     ImmutableList.Builder<ReplicaState> healthy = ImmutableList.builder();
     ImmutableList.Builder<ReplicaState> ejected = ImmutableList.builder();
@@ -84,7 +87,7 @@
     return preferred.isEmpty() ? ejected.build() : preferred;
   }
 
-  /** Takes a report from a reply or a probe. Reports under another id than expected are ignored. */
+  /** Applies a report from a reply or a probe. A report that names another back end is ignored. */
   public void onReport(String backendId, BackendReport report, long nowNanos) {
     ReplicaState replica = replicas.get(backendId);
     if (replica == null || !backendId.equals(report.backend())) {
@@ -95,7 +98,7 @@
     }
   }
 
-  /** Takes a drain mark from a peer; returns whether it was news. */
+  /** Applies a drain mark from a peer; returns whether it was not known before. */
   public boolean onDrainMark(String backendId, String incarnation) {
     ReplicaState replica = replicas.get(backendId);
     if (replica == null) {
@@ -104,7 +107,7 @@
     return replica.onDrainMark(incarnation);
   }
 
-  /** Takes the platform's list. A back end that is not listed keeps its state: the list lags. */
+  /** Applies the platform's list. As it lags, a back end that is not listed keeps its state. */
   public void onMachineList(MachineList list) {
     for (MachineList.Machine machine : list.machines()) {
       ReplicaState replica = replicas.get(machine.id());
@@ -114,12 +117,12 @@
     }
   }
 
-  /** Notes that an attempt goes to a back end. */
+  /** Records that an attempt is sent to a back end. */
   public void onAttemptStarted(String backendId) {
     find(backendId).ifPresent(ReplicaState::onAttemptStarted);
   }
 
-  /** Notes that an attempt has ended. */
+  /** Records that an attempt has ended. */
   public void onAttemptEnded(String backendId, AttemptResult result, long nowNanos) {
     find(backendId).ifPresent(replica -> replica.onAttemptEnded(result, nowNanos));
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/wire/BackendReply.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/wire/BackendReply.java
@@ -9,9 +9,9 @@
 /**
  * A back end's reply to one attempt.
  *
- * @param attempt the id of the attempt that it answers
- * @param snapshot the index snapshot that the result is drawn from
- * @param reason why the request was not run or failed; empty on success
+ * @param attempt id of the attempt that this reply answers
+ * @param snapshot the index snapshot from which the result was read
+ * @param reason why the attempt was not run; empty otherwise
  * @param hits search results; empty for other operations
  * @param document the fetched document, or the receipt of a post
  * @param report the state of the back end
@@ -30,15 +30,15 @@
     hits = hits == null ? ImmutableList.of() : ImmutableList.copyOf(hits);
   }
 
-  /** What became of the attempt. */
+  /** How the attempt ended. */
   public enum Outcome {
-    /** It ran and the result is in this reply. */
+    /** The attempt ran; the result is in this reply. */
     @JsonProperty("ok")
     OK,
-    /** The back end vouches that it did not run and never will. */
+    /** The back end guarantees that the attempt did not run and never will. */
     @JsonProperty("not-run")
     NOT_RUN,
-    /** It failed; it may have run. */
+    /** The attempt failed; it may have run. */
     @JsonProperty("failed")
     FAILED
   }
@@ -48,13 +48,13 @@
     /** The back end is leaving. */
     @JsonProperty("draining")
     DRAINING,
-    /** Too much work is waiting. */
+    /** Too many requests are waiting. */
     @JsonProperty("shed")
     SHED,
-    /** It does not hold the snapshot asked for. */
+    /** The back end does not hold the requested snapshot. */
     @JsonProperty("snapshot-gone")
     SNAPSHOT_GONE,
-    /** It does not hold the shard of this layout. */
+    /** The back end does not hold this shard of the layout. */
     @JsonProperty("wrong-shard")
     WRONG_SHARD,
     /** The deadline passed, or the attempt was cancelled, before it got a slot. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/wire/BackendReport.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/wire/BackendReport.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 
 /**
- * What a back end says of itself, in every reply and in answer to probes.
+ * A back end's state as it reports it, in every reply and in response to probes.
  *
- * @param backend its id
- * @param incarnation differs after every restart
+ * @param backend the back end's id
+ * @param incarnation identifies one start of the back end; differs after every restart
  * @param draining whether it is leaving and takes no new work
  * @param running requests that occupy slots
  * @param waiting requests that wait for a slot
--- a/arrowarch-core/src/main/java/io/arrowarch/core/wire/BackendRequest.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/wire/BackendRequest.java
@@ -7,15 +7,15 @@
 /**
  * One attempt as it is sent to a back end.
  *
- * @param attempt unique over all routers and their incarnations; the reply must repeat it
+ * @param attempt unique across all routers and their incarnations; the reply must repeat it
  * @param kind the query kind
  * @param layout layout id, {@code name/generation}
  * @param shard shard name
- * @param snapshot the index snapshot to answer from; empty lets the back end take its newest
- * @param deadlineMillis time left for the back end, relative to receipt
- * @param limit the most hits wanted
+ * @param snapshot the index snapshot to answer from; if empty, the back end uses its newest
+ * @param deadlineMillis time left, counted from receipt by the back end
+ * @param limit maximum number of hits
  * @param key document key of single-shard operations
- * @param body the caller's body
+ * @param body body of the caller's request
  */
 public record BackendRequest(
     String attempt,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/wire/MachineList.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/wire/MachineList.java
@@ -4,7 +4,7 @@
 import com.google.common.collect.ImmutableList;
 import java.util.List;
 
-/** The platform's list of live and leaving machines, which lags behind reality. */
+/** The platform's list of live and leaving machines. It lags behind the actual state. */
 public record MachineList(List<Machine> machines) {
   public MachineList {
     machines = machines == null ? ImmutableList.of() : ImmutableList.copyOf(machines);
@@ -26,7 +26,7 @@
     BACKEND
   }
 
-  /** What the platform believes of a machine. */
+  /** State of a machine according to the platform. */
   public enum State {
     @JsonProperty("live")
     LIVE,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/wire/SearchHit.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/wire/SearchHit.java
@@ -7,6 +7,6 @@
  *
  * @param id document id, unique over the index
  * @param score higher is better
- * @param document the whole listing
+ * @param document the whole document
  */
 public record SearchHit(String id, double score, JsonNode document) {}
--- a/arrowarch-core/src/main/java/io/arrowarch/core/wire/WireCodec.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/wire/WireCodec.java
@@ -10,7 +10,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** JSON of every message between processes. Thread-safe. */
+/** Encodes and decodes messages between processes as JSON. Thread-safe. */
 public final class WireCodec {
   private static final JsonMapper MAPPER =
       JsonMapper.builder()
@@ -31,7 +31,7 @@
     }
   }
 
-  /** Decodes a message; a failure when the bytes are not exactly one message of this type. */
+  /** Decodes a message. Fails when the bytes are not exactly one message of this type. */
   public static <T> Try<T> decode(byte[] bytes, Class<T> type) {
     return Try.of(() -> requireMessage(MAPPER.readValue(bytes, type)));
   }
