--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/AdmissionControl.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/AdmissionControl.java
@@ -7,7 +7,7 @@
   /** The largest part of the time left that a query may be expected to wait in queues. */
   private static final double MAXIMUM_WAIT_FRACTION = 0.4;
 
-  private static final double TYPICAL_QUANTILE = 0.5;
+  private static final double MEDIAN = 0.5;
 
   private final AttemptDispatcher dispatcher;
   private final int maximumQueries;
@@ -25,22 +25,22 @@
     if (dispatcher.executions().size() >= maximumQueries) {
       return false;
     }
-    long left = execution.deadlineNanos() - nowNanos;
+    long remainingNanos = execution.deadlineNanos() - nowNanos;
     long serviceNanos =
-        execution.kindState().latencies().quantileNanos(TYPICAL_QUANTILE, left / 10);
-    double longestWait = 0;
+        execution.kindState().latencies().quantileNanos(MEDIAN, remainingNanos / 10);
+    double longestWaitNanos = 0;
     for (ShardProgress progress : execution.plan().shards()) {
-      longestWait = Math.max(longestWait, shortestWait(progress, serviceNanos));
+      longestWaitNanos = Math.max(longestWaitNanos, shortestWaitNanos(progress, serviceNanos));
     }
-    return longestWait <= left * MAXIMUM_WAIT_FRACTION;
+    return longestWaitNanos <= remainingNanos * MAXIMUM_WAIT_FRACTION;
   }
 
-  private double shortestWait(ShardProgress progress, long serviceNanos) {
-    double shortest = progress.candidates().isEmpty() ? 0 : Double.MAX_VALUE;
+  private double shortestWaitNanos(ShardProgress progress, long serviceNanos) {
+    double shortestNanos = progress.candidates().isEmpty() ? 0 : Double.MAX_VALUE;
     for (ReplicaState candidate : progress.candidates()) {
-      int waiting = dispatcher.waitingLength(candidate.backend().id());
-      shortest = Math.min(shortest, (double) waiting / candidate.limit() * serviceNanos);
+      int waiting = dispatcher.queueLength(candidate.backend().id());
+      shortestNanos = Math.min(shortestNanos, (double) waiting / candidate.limit() * serviceNanos);
     }
-    return shortest;
+    return shortestNanos;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptDispatcher.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptDispatcher.java
@@ -75,7 +75,7 @@
     return executions;
   }
 
-  int waitingLength(String backendId) {
+  int queueLength(String backendId) {
     return waitingShards.length(backendId);
   }
 
@@ -110,7 +110,7 @@
     return !hedgePolicy.isBudgeted() || budget.tryWithdraw();
   }
 
-  void awaitRoom(ShardProgress progress, List<ReplicaState> eligible, AttemptPurpose purpose) {
+  void enqueue(ShardProgress progress, List<ReplicaState> eligible, AttemptPurpose purpose) {
     waitingShards.add(progress, eligible, purpose);
   }
 
@@ -219,10 +219,10 @@
 
   private void end(String backendId, AttemptResult result, long nowNanos) {
     replicas.onAttemptEnded(backendId, result, nowNanos);
-    replicas.find(backendId).ifPresent(this::startWaiting);
+    replicas.find(backendId).ifPresent(this::startQueued);
   }
 
-  private void startWaiting(ReplicaState replica) {
+  private void startQueued(ReplicaState replica) {
     while (replica.hasRoom()) {
       Optional<ShardProgress> next = waitingShards.poll(replica.backend().id());
       if (next.isEmpty()) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptFailure.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptFailure.java
@@ -11,14 +11,14 @@
   /** The reply was truncated or malformed, or named another attempt. */
   GARBLED_REPLY(true);
 
-  private final boolean maybeRun;
+  private final boolean mayHaveRun;
 
-  AttemptFailure(boolean maybeRun) {
-    this.maybeRun = maybeRun;
+  AttemptFailure(boolean mayHaveRun) {
+    this.mayHaveRun = mayHaveRun;
   }
 
   /** Whether the back end may have run the attempt. */
-  public boolean maybeRun() {
-    return maybeRun;
+  public boolean mayHaveRun() {
+    return mayHaveRun;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/ExecutionEvidence.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/ExecutionEvidence.java
@@ -5,14 +5,14 @@
 /** What is known about execution from all attempts of one query. */
 final class ExecutionEvidence {
   private boolean ran;
-  private boolean uncertain;
+  private boolean mayHaveRun;
 
-  void ran() {
+  void recordRun() {
     ran = true;
   }
 
-  void maybeRan() {
-    uncertain = true;
+  void recordPossibleRun() {
+    mayHaveRun = true;
   }
 
   /**
@@ -24,6 +24,6 @@
     if (ran) {
       return Executed.YES;
     }
-    return uncertain || attemptsOutstanding > 0 ? Executed.UNKNOWN : Executed.NO;
+    return mayHaveRun || attemptsOutstanding > 0 ? Executed.UNKNOWN : Executed.NO;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryCoordinator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryCoordinator.java
@@ -154,7 +154,7 @@
       QueryKind kind,
       Consumer<Either<QueryError, QueryAnswer>> sink) {
     KindState state = kindStates.get(kind.name());
-    long deadlineLength =
+    long timeoutNanos =
         request
             .deadline()
             .filter(wanted -> wanted.compareTo(kind.deadline()) < 0)
@@ -168,8 +168,8 @@
         kind,
         select(kind),
         state,
-        hedgePolicy.delayNanos(state.latencies(), deadlineLength),
-        arrivalNanos + deadlineLength,
+        hedgePolicy.delayNanos(state.latencies(), timeoutNanos),
+        arrivalNanos + timeoutNanos,
         sink);
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
@@ -110,7 +110,7 @@
   }
 
   private void scatter(long nowNanos) {
-    if (finishIfHopeless() || finishIfSettled()) {
+    if (failIfCoverageUnreachable() || finishIfSettled()) {
       return;
     }
     int planNumber = replans;
@@ -129,14 +129,14 @@
   void tryStart(ShardProgress progress, AttemptPurpose purpose, long nowNanos) {
     ImmutableList<ReplicaState> eligible = dispatcher.eligible(progress.untried(), nowNanos);
     if (eligible.isEmpty()) {
-      lose(progress);
+      giveUp(progress);
       return;
     }
     Optional<ReplicaState> replica = dispatcher.choose(eligible);
     if (replica.isPresent()) {
       dispatcher.start(progress, replica.get(), purpose);
     } else {
-      dispatcher.awaitRoom(progress, eligible, purpose);
+      dispatcher.enqueue(progress, eligible, purpose);
     }
   }
 
@@ -146,7 +146,7 @@
       case OK -> onSuccess(attempt, reply, nowNanos);
       case NOT_RUN -> onNotRun(attempt.progress(), reply, nowNanos);
       case FAILED -> {
-        evidence.maybeRan();
+        evidence.recordPossibleRun();
         retry(attempt.progress(), nowNanos);
         yield AttemptResult.FAILURE;
       }
@@ -155,15 +155,15 @@
 
   /** Handles an attempt that failed without a valid reply. */
   void onFailure(OutstandingAttempt attempt, AttemptFailure failure, long nowNanos) {
-    if (failure.maybeRun()) {
-      evidence.maybeRan();
+    if (failure.mayHaveRun()) {
+      evidence.recordPossibleRun();
     }
     retry(attempt.progress(), nowNanos);
   }
 
   private AttemptResult onSuccess(OutstandingAttempt attempt, BackendReply reply, long nowNanos) {
-    evidence.ran();
-    if (!isAsAsked(attempt, reply)) {
+    evidence.recordRun();
+    if (!matchesRequest(attempt, reply)) {
       dispatcher.counters().onInvalidReply();
       retry(attempt.progress(), nowNanos);
       return AttemptResult.FAILURE;
@@ -175,7 +175,7 @@
     return AttemptResult.SUCCESS;
   }
 
-  private boolean isAsAsked(OutstandingAttempt attempt, BackendReply reply) {
+  private boolean matchesRequest(OutstandingAttempt attempt, BackendReply reply) {
     boolean snapshotMatches = plan.snapshot().isEmpty() || plan.snapshot().equals(reply.snapshot());
     return snapshotMatches
         && reply.layout().equals(kind.layout().id())
@@ -201,8 +201,8 @@
       return;
     }
     boolean allowed = kind.repeatable() && progress.attempts() < MAXIMUM_ATTEMPTS_PER_SHARD;
-    if (!allowed || !payForRetry(afterShed)) {
-      lose(progress);
+    if (!allowed || !withdrawForRetry(afterShed)) {
+      giveUp(progress);
     } else if (!dispatcher.eligible(progress.untried(), nowNanos).isEmpty()) {
       tryStart(progress, AttemptPurpose.RETRY, nowNanos);
     } else {
@@ -210,17 +210,17 @@
     }
   }
 
-  private boolean payForRetry(boolean afterShed) {
+  private boolean withdrawForRetry(boolean afterShed) {
     return afterShed ? kindState.budget().tryWithdrawAfterShed() : kindState.budget().tryWithdraw();
   }
 
   private void retryAfterBackoff(ShardProgress progress, long nowNanos) {
-    long backoff = RETRY_BACKOFF.toNanos() << progress.attempts();
-    long jittered = dispatcher.jitter(backoff);
+    long backoffNanos = RETRY_BACKOFF.toNanos() << progress.attempts();
+    long delayNanos = dispatcher.jitter(backoffNanos);
     int planNumber = replans;
-    progress.forgetTried();
+    progress.clearTriedBackends();
     timers.schedule(
-        nowNanos + jittered,
+        nowNanos + delayNanos,
         () -> {
           if (isCurrent(planNumber) && !progress.isSettled()) {
             tryStart(progress, AttemptPurpose.RETRY, dispatcher.nowNanos());
@@ -289,9 +289,9 @@
     }
   }
 
-  private void lose(ShardProgress progress) {
+  private void giveUp(ShardProgress progress) {
     progress.onLost();
-    if (!finishIfHopeless()) {
+    if (!failIfCoverageUnreachable()) {
       finishIfSettled();
     }
   }
@@ -300,7 +300,7 @@
    * Ends the query with an error as soon as the lost shards make the kind's minimum coverage
    * unreachable. Returns whether the query is finished.
    */
-  private boolean finishIfHopeless() {
+  private boolean failIfCoverageUnreachable() {
     if (finished) {
       return true;
     }
@@ -380,7 +380,7 @@
     plan.shards().forEach(ShardProgress::onLost);
     for (ShardProgress progress : plan.shards()) {
       if (!progress.outstanding().isEmpty()) {
-        evidence.maybeRan();
+        evidence.recordPossibleRun();
       }
       dispatcher.cancelOutstanding(progress, Long.MAX_VALUE);
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/ShardProgress.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/ShardProgress.java
@@ -82,7 +82,7 @@
     return hedged;
   }
 
-  void startWaiting(AttemptPurpose purpose) {
+  void onQueued(AttemptPurpose purpose) {
     waiting = true;
     waitingPurpose = purpose;
   }
@@ -105,7 +105,7 @@
   }
 
   /** Allows every candidate to be tried again, for a retry after a backoff. */
-  void forgetTried() {
+  void clearTriedBackends() {
     triedBackends.clear();
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/WaitingShards.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/WaitingShards.java
@@ -16,7 +16,7 @@
    * not take it, the caller would poll the shard and queue it there again without end.
    */
   void add(ShardProgress progress, List<ReplicaState> eligible, AttemptPurpose purpose) {
-    progress.startWaiting(purpose);
+    progress.onQueued(purpose);
     for (ReplicaState candidate : eligible) {
       queueOf(candidate.backend().id()).add(progress);
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/Prober.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/Prober.java
@@ -47,7 +47,7 @@
   private void tick() {
     timers.schedule(clock.nanoTime() + TICK.toNanos(), this::tick);
     for (ReplicaState replica : replicas.all()) {
-      if (replica.takeProbeTick(() -> nextProbeTicks())) {
+      if (replica.onProbeTick(() -> nextProbeTicks())) {
         transport.probe(replica.backend());
       }
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaState.java
@@ -26,7 +26,7 @@
   private boolean listedAsLeaving;
 
   /** The incarnation that the platform's list marks as leaving; the list itself names none. */
-  private Optional<String> listMarkedIncarnation = Optional.empty();
+  private Optional<String> leavingIncarnation = Optional.empty();
 
   private long lastHeardNanos;
   private int inFlight;
@@ -122,7 +122,7 @@
       ejectedUntilNanos = Long.MIN_VALUE;
     }
     if (report.isEmpty() && listedAsLeaving) {
-      listMarkedIncarnation = Optional.of(latest.incarnation());
+      leavingIncarnation = Optional.of(latest.incarnation());
     }
     report = Optional.of(latest);
     lastHeardNanos = nowNanos;
@@ -140,15 +140,15 @@
    */
   void onListed(boolean leaving) {
     if (leaving && !listedAsLeaving) {
-      listMarkedIncarnation = report.map(BackendReport::incarnation);
+      leavingIncarnation = report.map(BackendReport::incarnation);
     } else if (!leaving) {
-      listMarkedIncarnation = Optional.empty();
+      leavingIncarnation = Optional.empty();
     }
     listedAsLeaving = leaving;
   }
 
   private boolean isListedAsLeaving() {
-    return listedAsLeaving && report.map(BackendReport::incarnation).equals(listMarkedIncarnation);
+    return listedAsLeaving && report.map(BackendReport::incarnation).equals(leavingIncarnation);
   }
 
   /** Records that no connection could be opened: no new work until the next report. */
@@ -157,7 +157,7 @@
   }
 
   /** Counts one tick down to the next probe; returns whether the probe is due. */
-  boolean takeProbeTick(IntSupplier nextTicks) {
+  boolean onProbeTick(IntSupplier nextTicks) {
     ticksToProbe--;
     if (ticksToProbe > 0) {
       return false;
@@ -188,8 +188,9 @@
   private void countFailure(long nowNanos) {
     consecutiveFailures++;
     if (consecutiveFailures >= FAILURES_TO_EJECT) {
-      long length = FIRST_EJECTION.toNanos() << Math.min(ejections, MAXIMUM_EJECTION_DOUBLINGS);
-      ejectedUntilNanos = nowNanos + length;
+      long ejectionNanos =
+          FIRST_EJECTION.toNanos() << Math.min(ejections, MAXIMUM_EJECTION_DOUBLINGS);
+      ejectedUntilNanos = nowNanos + ejectionNanos;
       ejections++;
       consecutiveFailures = 0;
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaTable.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaTable.java
@@ -18,7 +18,7 @@
   private final Map<String, ReplicaState> replicas = new LinkedHashMap<>();
 
   /** Drain marks from peers for back ends that are not in the configuration. */
-  private final Map<String, Set<String>> earlyDrainMarks = new HashMap<>();
+  private final Map<String, Set<String>> pendingDrainMarks = new HashMap<>();
 
   private final BiConsumer<String, String> onNewDrainMark;
 
@@ -47,11 +47,11 @@
         known.reconfigure(backend, maximumInFlight);
       } else {
         ReplicaState added = new ReplicaState(backend, maximumInFlight);
-        earlyDrainMarks.getOrDefault(backend.id(), Set.of()).forEach(added::onDrainMark);
+        pendingDrainMarks.getOrDefault(backend.id(), Set.of()).forEach(added::onDrainMark);
         replicas.put(backend.id(), added);
       }
     }
-    earlyDrainMarks.keySet().removeAll(backends.keySet());
+    pendingDrainMarks.keySet().removeAll(backends.keySet());
   }
 
   /**
@@ -102,7 +102,7 @@
   public boolean onDrainMark(String backendId, String incarnation) {
     ReplicaState replica = replicas.get(backendId);
     if (replica == null) {
-      return earlyDrainMarks.computeIfAbsent(backendId, id -> new HashSet<>()).add(incarnation);
+      return pendingDrainMarks.computeIfAbsent(backendId, id -> new HashSet<>()).add(incarnation);
     }
     return replica.onDrainMark(incarnation);
   }
