--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptDispatcher.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptDispatcher.java
@@ -110,6 +110,7 @@
     return !hedgePolicy.isBudgeted() || budget.tryWithdraw();
   }
 
+  /** Queues a shard until one of its eligible replicas has room. */
   void enqueue(ShardProgress progress, List<ReplicaState> eligible, AttemptPurpose purpose) {
     waitingShards.add(progress, eligible, purpose);
   }
@@ -222,6 +223,7 @@
     replicas.find(backendId).ifPresent(this::startQueued);
   }
 
+  /** Starts queued shards while a replica has room. */
   private void startQueued(ReplicaState replica) {
     while (replica.hasRoom()) {
       Optional<ShardProgress> next = waitingShards.poll(replica.backend().id());
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
@@ -210,6 +210,7 @@
     }
   }
 
+  /** Charges a retry to the budget; false when too little of it is left. */
   private boolean withdrawForRetry(boolean afterShed) {
     return afterShed ? kindState.budget().tryWithdrawAfterShed() : kindState.budget().tryWithdraw();
   }
@@ -289,6 +290,7 @@
     }
   }
 
+  /** Marks a shard as lost: this plan sends no further attempt for it. */
   private void giveUp(ShardProgress progress) {
     progress.onLost();
     if (!failIfCoverageUnreachable()) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaTable.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaTable.java
@@ -55,7 +55,8 @@
   }
 
   /**
-   * The back end's slots, or this router's share of its connections less one for probes if lower.
+   * The lower of the back end's slots and this router's share of its connections, of which one is
+   * kept for probes; at least 1.
    */
   private static int maximumInFlight(Backend backend, int routers) {
     int share = backend.connections() / Math.max(1, routers) - 1;
