--- a/arrowarch-core/src/test/java/io/arrowarch/core/query/CoordinatorFixture.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/query/CoordinatorFixture.java
@@ -22,7 +22,9 @@
 import java.util.Random;
 import java.util.Set;
 
-/** A coordinator with a clock that moves when told and a transport that only records. */
+/**
+ * A coordinator with a fake clock and a transport that records attempts instead of sending them.
+ */
 final class CoordinatorFixture implements AttemptTransport {
   final FakeClock clock = new FakeClock();
   final TimerQueue timers = new TimerQueue();
@@ -50,7 +52,7 @@
     coordinator.reconfigure(configuration);
   }
 
-  /** Reports all four back ends as holding these snapshots. */
+  /** Delivers a report from each of the four back ends, which holds these snapshots. */
   CoordinatorFixture reporting(Long... snapshots) {
     for (String id : List.of("a0", "b0", "a1", "b1")) {
       report(id, false, snapshots);
@@ -86,7 +88,7 @@
     timers.runDue(clock.nanoTime());
   }
 
-  /** Answers an attempt from the snapshot that it asked for. */
+  /** Delivers a success from the snapshot that the attempt was pinned to. */
   void succeed(Attempt attempt) {
     coordinator.onReply(attempt.id(), success(attempt, attempt.request().snapshot()));
   }
@@ -95,6 +97,7 @@
     return reply(attempt, Outcome.OK, Optional.empty(), snapshot, attempt.request().shard());
   }
 
+  /** Delivers a refusal whose report names the snapshots still held. */
   void refuse(Attempt attempt, NotRunReason reason, Long... held) {
     BackendReply template =
         reply(
--- a/arrowarch-core/src/test/java/io/arrowarch/core/query/QueryCoordinatorTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/query/QueryCoordinatorTest.java
@@ -11,7 +11,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The state machine of a query, event by event. */
+/**
+ * Drives the state machine of a query with single events: replies, failures and timers. Guards
+ * against answers from mixed snapshots, wrong statements about execution, and attempts that must
+ * not be sent.
+ */
 public class QueryCoordinatorTest {
   private CoordinatorFixture fixture;
 
@@ -30,7 +34,7 @@
     assertThat(fixture.answer().hits()).hasSize(2);
   }
 
-  /** Found by PromiseProperties: it was sent without a snapshot, so that shards could differ. */
+  /** In a search sent without a snapshot, shards could answer from different snapshots. */
   @Test
   public void searchWithoutAnyReportedSnapshotIsRefusedUnsent() {
     fixture.reporting().submit("search");
@@ -82,6 +86,7 @@
     assertThat(fixture.coordinator.counters().lateReplies()).isEqualTo(1);
   }
 
+  /** After a pause of the process, the hedge timer may run once the confirmation has expired. */
   @Test
   public void hedgeTimerAfterPauseSendsNothingWithoutConfirmation() {
     fixture.reporting(5L).submit("search");
@@ -90,6 +95,7 @@
     assertThat(fixture.sent).hasSize(2);
   }
 
+  /** The process may have been suspended between the start of an attempt and its writing. */
   @Test
   public void attemptMayNotBeWrittenAfterItsDeadline() {
     fixture.reporting(5L).submit("post");
@@ -110,6 +116,7 @@
     assertThat(fixture.sent).hasSize(3);
   }
 
+  /** A reply from the old snapshot must not be merged with replies from the new one. */
   @Test
   public void vanishedSnapshotReplansTheWholeQuery() {
     fixture.reporting(5L).submit("search");
@@ -131,6 +138,7 @@
     assertThat(fixture.error().executed()).isEqualTo(Executed.NO);
   }
 
+  /** The back end may have run the post before the connection broke. */
   @Test
   public void postWhoseConnectionBreaksIsUnknownAndNotRetried() {
     fixture.reporting(5L).submit("post");
@@ -177,7 +185,10 @@
     assertThat(counters.retries()).isLessThanOrEqualTo(16 + counters.firstAttempts() / 20 + 1);
   }
 
-  /** Found by experiment slovakia, group frozen: the router span for ever. */
+  /**
+   * A replica becomes unreachable while a shard waits for room. If the shard were queued there
+   * again, the router would poll and queue it in an endless loop.
+   */
   @Test(timeOut = 20_000)
   public void shardWaitingForRoomIsNotQueuedAtAReplicaThatMayNotTakeIt() {
     fixture.reporting(5L);
