--- a/arrowarch-core/src/test/java/io/arrowarch/core/query/CoordinatorFixture.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/query/CoordinatorFixture.java
@@ -53,7 +53,7 @@
   }
 
   /** Delivers a report from each of the four back ends, which holds these snapshots. */
-  CoordinatorFixture reporting(Long... snapshots) {
+  CoordinatorFixture reportSnapshots(Long... snapshots) {
     for (String id : List.of("a0", "b0", "a1", "b1")) {
       report(id, false, snapshots);
     }
--- a/arrowarch-core/src/test/java/io/arrowarch/core/query/QueryCoordinatorTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/query/QueryCoordinatorTest.java
@@ -26,7 +26,7 @@
 
   @Test
   public void searchAsksEveryShardOnceAndMerges() {
-    fixture.reporting(4L, 5L).submit("search");
+    fixture.reportSnapshots(4L, 5L).submit("search");
     assertThat(fixture.sent).hasSize(2);
     fixture.sent.forEach(fixture::succeed);
     assertThat(fixture.answer().coverage().fraction()).isEqualTo(1.0);
@@ -37,15 +37,15 @@
   /** In a search sent without a snapshot, shards could answer from different snapshots. */
   @Test
   public void searchWithoutAnyReportedSnapshotIsRefusedUnsent() {
-    fixture.reporting().submit("search");
+    fixture.reportSnapshots().submit("search");
     assertThat(fixture.sent).isEmpty();
     assertThat(fixture.error().kind()).isEqualTo(ErrorKind.COVERAGE_TOO_LOW);
     assertThat(fixture.error().executed()).isEqualTo(Executed.NO);
   }
 
   @Test
-  public void searchTakesTheSnapshotThatCoversMost() {
-    fixture.reporting(4L);
+  public void searchUsesTheSnapshotThatCoversMostOfTheLayout() {
+    fixture.reportSnapshots(4L);
     fixture.report("a0", false, 4L, 5L);
     fixture.submit("search");
     assertThat(fixture.sent.get(0).request().snapshot()).contains(4L);
@@ -53,7 +53,7 @@
 
   @Test
   public void partialAnswerAtDeadlineNamesMissingShard() {
-    fixture.reporting(5L).submit("search");
+    fixture.reportSnapshots(5L).submit("search");
     fixture.succeed(attemptFor("s0"));
     fixture.advance(Duration.ofMillis(100));
     assertThat(fixture.answer().coverage().fraction()).isEqualTo(0.75);
@@ -61,8 +61,8 @@
   }
 
   @Test
-  public void coverageBelowMinimumIsAnErrorOfUnknownOrProvenExecution() {
-    fixture.reporting(5L).submit("search");
+  public void coverageBelowMinimumAtDeadlineIsAnErrorOfProvenExecution() {
+    fixture.reportSnapshots(5L).submit("search");
     fixture.succeed(attemptFor("s1"));
     fixture.advance(Duration.ofMillis(100));
     assertThat(fixture.error().kind()).isEqualTo(ErrorKind.DEADLINE_EXCEEDED);
@@ -72,7 +72,7 @@
 
   @Test
   public void slowAttemptIsHedgedAndTheLoserCancelled() {
-    fixture.reporting(5L).submit("search");
+    fixture.reportSnapshots(5L).submit("search");
     Attempt slow = attemptFor("s0");
     fixture.succeed(attemptFor("s1"));
     fixture.advance(Duration.ofMillis(40));
@@ -88,8 +88,8 @@
 
   /** After a pause of the process, the hedge timer may run once the confirmation has expired. */
   @Test
-  public void hedgeTimerAfterPauseSendsNothingWithoutConfirmation() {
-    fixture.reporting(5L).submit("search");
+  public void hedgeTimerAfterPauseSendsNothingWithoutConfirmedConfiguration() {
+    fixture.reportSnapshots(5L).submit("search");
     fixture.confirmed = false;
     fixture.advance(Duration.ofMillis(40));
     assertThat(fixture.sent).hasSize(2);
@@ -98,7 +98,7 @@
   /** The process may have been suspended between the start of an attempt and its writing. */
   @Test
   public void attemptMayNotBeWrittenAfterItsDeadline() {
-    fixture.reporting(5L).submit("post");
+    fixture.reportSnapshots(5L).submit("post");
     Attempt attempt = fixture.sent.get(0);
     assertThat(fixture.coordinator.mayWrite(attempt.id())).isTrue();
     fixture.clock.advance(Duration.ofMillis(100));
@@ -107,7 +107,7 @@
 
   @Test
   public void replyFromAnotherSnapshotIsNotMerged() {
-    fixture.reporting(5L).submit("search");
+    fixture.reportSnapshots(5L).submit("search");
     Attempt attempt = attemptFor("s0");
     fixture.coordinator.onReply(attempt.id(), fixture.success(attempt, Optional.of(6L)));
     fixture.succeed(attemptFor("s1"));
@@ -119,9 +119,9 @@
   /** A reply from the old snapshot must not be merged with replies from the new one. */
   @Test
   public void vanishedSnapshotReplansTheWholeQuery() {
-    fixture.reporting(5L).submit("search");
+    fixture.reportSnapshots(5L).submit("search");
     fixture.succeed(attemptFor("s1"));
-    fixture.reporting(6L);
+    fixture.reportSnapshots(6L);
     fixture.refuse(attemptFor("s0"), NotRunReason.SNAPSHOT_GONE, 6L);
     assertThat(fixture.sent).hasSize(4);
     fixture.succeed(fixture.sent.get(2));
@@ -131,8 +131,8 @@
   }
 
   @Test
-  public void refusedPostIsSaidNotToHaveRunAndIsNotRetried() {
-    fixture.reporting(5L).submit("post");
+  public void refusedPostIsReportedAsNotExecutedAndNotRetried() {
+    fixture.reportSnapshots(5L).submit("post");
     fixture.refuse(fixture.sent.get(0), NotRunReason.SHED, 5L);
     assertThat(fixture.sent).hasSize(1);
     assertThat(fixture.error().executed()).isEqualTo(Executed.NO);
@@ -140,16 +140,16 @@
 
   /** The back end may have run the post before the connection broke. */
   @Test
-  public void postWhoseConnectionBreaksIsUnknownAndNotRetried() {
-    fixture.reporting(5L).submit("post");
+  public void postOnLostConnectionIsOfUnknownExecutionAndNotRetried() {
+    fixture.reportSnapshots(5L).submit("post");
     fixture.coordinator.onFailure(fixture.sent.get(0).id(), AttemptFailure.CONNECTION_LOST);
     assertThat(fixture.sent).hasSize(1);
     assertThat(fixture.error().executed()).isEqualTo(Executed.UNKNOWN);
   }
 
   @Test
-  public void drainingReplicaGetsNothingAfterItsRefusal() {
-    fixture.reporting(5L).submit("fetch");
+  public void drainingReplicaGetsNoAttemptAfterItsRefusal() {
+    fixture.reportSnapshots(5L).submit("fetch");
     Attempt refused = fixture.sent.get(0);
     fixture.refuse(refused, NotRunReason.DRAINING, 5L);
     Attempt retried = fixture.sent.get(1);
@@ -164,8 +164,8 @@
   }
 
   @Test
-  public void replicaNotHeardOfLatelyGetsNoNewWork() {
-    fixture.reporting(5L);
+  public void replicaWithoutRecentReportGetsNoNewWork() {
+    fixture.reportSnapshots(5L);
     fixture.advance(Duration.ofMillis(2_001));
     fixture.submit("search");
     assertThat(fixture.sent).isEmpty();
@@ -173,7 +173,7 @@
 
   @Test
   public void retriesStopWhenTheBudgetIsSpent() {
-    fixture.reporting(5L);
+    fixture.reportSnapshots(5L);
     for (int i = 0; i < 60; i++) {
       int first = fixture.sent.size();
       fixture.submit("fetch");
@@ -191,7 +191,7 @@
    */
   @Test(timeOut = 20_000)
   public void shardWaitingForRoomIsNotQueuedAtAReplicaThatMayNotTakeIt() {
-    fixture.reporting(5L);
+    fixture.reportSnapshots(5L);
     for (int i = 0; i < 5; i++) {
       fixture.submit("fetch");
     }
