--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/ExecutionEvidence.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/ExecutionEvidence.java
@@ -2,28 +2,28 @@
 
 import io.arrowarch.core.error.Executed;
 
-/** What is proven about execution over all attempts of one query. */
+/** What is known about execution from all attempts of one query. */
 final class ExecutionEvidence {
   private boolean ran;
-  private boolean uncertain;
+  private boolean mayHaveRun;
 
-  void ran() {
+  void recordRun() {
     ran = true;
   }
 
-  void maybeRan() {
-    uncertain = true;
+  void recordPossibleRun() {
+    mayHaveRun = true;
   }
 
   /**
-   * The claim that the evidence supports.
+   * Whether the query has been executed, as far as the evidence shows.
    *
-   * @param attemptsOutstanding attempts whose outcome has not been seen
+   * @param attemptsOutstanding number of attempts whose outcome is not yet known
    */
   Executed conclude(int attemptsOutstanding) {
     if (ran) {
       return Executed.YES;
     }
-    return uncertain || attemptsOutstanding > 0 ? Executed.UNKNOWN : Executed.NO;
+    return mayHaveRun || attemptsOutstanding > 0 ? Executed.UNKNOWN : Executed.NO;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
@@ -18,8 +18,8 @@
 import java.util.function.Consumer;
 
 /**
- * The state machine of one query: scatter, hedge, gather, answer. It answers exactly once, and
- * starts no attempt after that.
+ * The state machine of one query. It sends attempts to all shards, hedges and retries them, and
+ * merges the replies. It delivers exactly one outcome and starts no attempt after that.
  */
 final class QueryExecution {
   private static final int MAXIMUM_REPLANS = 2;
@@ -93,7 +93,7 @@
     return finished;
   }
 
-  /** Plans without sending anything, so that admission can look at the plan. */
+  /** Plans the query without sending anything, so that admission control can check the plan. */
   void prepare(long nowNanos) {
     plan = planner.plan(this, selection, nowNanos);
   }
@@ -104,13 +104,13 @@
     scatter(nowNanos);
   }
 
-  /** Ends the query with an error that arose before any attempt. */
+  /** Ends the query with an error before any attempt is sent. */
   void refuse(QueryError error) {
     finish(Either.left(error));
   }
 
   private void scatter(long nowNanos) {
-    if (finishIfHopeless() || finishIfSettled()) {
+    if (failIfCoverageUnreachable() || finishIfSettled()) {
       return;
     }
     int planNumber = replans;
@@ -122,45 +122,48 @@
     scheduleHedges(planNumber, nowNanos + hedgeDelayNanos);
   }
 
-  /** Sends the next attempt of a shard, lets it wait for room, or gives it up. */
+  /**
+   * Sends the next attempt for a shard. Without room at any eligible replica, the shard is queued;
+   * without any eligible replica, the shard is lost.
+   */
   void tryStart(ShardProgress progress, AttemptPurpose purpose, long nowNanos) {
     ImmutableList<ReplicaState> eligible = dispatcher.eligible(progress.untried(), nowNanos);
     if (eligible.isEmpty()) {
-      lose(progress);
+      giveUp(progress);
       return;
     }
     Optional<ReplicaState> replica = dispatcher.choose(eligible);
     if (replica.isPresent()) {
       dispatcher.start(progress, replica.get(), purpose);
     } else {
-      dispatcher.awaitRoom(progress, eligible, purpose);
+      dispatcher.enqueue(progress, eligible, purpose);
     }
   }
 
-  /** Takes a reply that belongs to this query; the dispatcher has removed the attempt. */
+  /** Handles a reply to an attempt of this query. The dispatcher has removed the attempt. */
   AttemptResult onReply(OutstandingAttempt attempt, BackendReply reply, long nowNanos) {
     return switch (reply.outcome()) {
       case OK -> onSuccess(attempt, reply, nowNanos);
       case NOT_RUN -> onNotRun(attempt.progress(), reply, nowNanos);
       case FAILED -> {
-        evidence.maybeRan();
+        evidence.recordPossibleRun();
         retry(attempt.progress(), nowNanos);
         yield AttemptResult.FAILURE;
       }
     };
   }
 
-  /** Takes a failure without a reply. */
+  /** Handles an attempt that failed without a valid reply. */
   void onFailure(OutstandingAttempt attempt, AttemptFailure failure, long nowNanos) {
-    if (failure.maybeRun()) {
-      evidence.maybeRan();
+    if (failure.mayHaveRun()) {
+      evidence.recordPossibleRun();
     }
     retry(attempt.progress(), nowNanos);
   }
 
   private AttemptResult onSuccess(OutstandingAttempt attempt, BackendReply reply, long nowNanos) {
-    evidence.ran();
-    if (!isAsAsked(attempt, reply)) {
+    evidence.recordRun();
+    if (!matchesRequest(attempt, reply)) {
       dispatcher.counters().onInvalidReply();
       retry(attempt.progress(), nowNanos);
       return AttemptResult.FAILURE;
@@ -172,7 +175,7 @@
     return AttemptResult.SUCCESS;
   }
 
-  private boolean isAsAsked(OutstandingAttempt attempt, BackendReply reply) {
+  private boolean matchesRequest(OutstandingAttempt attempt, BackendReply reply) {
     boolean snapshotMatches = plan.snapshot().isEmpty() || plan.snapshot().equals(reply.snapshot());
     return snapshotMatches
         && reply.layout().equals(kind.layout().id())
@@ -198,8 +201,8 @@
       return;
     }
     boolean allowed = kind.repeatable() && progress.attempts() < MAXIMUM_ATTEMPTS_PER_SHARD;
-    if (!allowed || !payForRetry(afterShed)) {
-      lose(progress);
+    if (!allowed || !withdrawForRetry(afterShed)) {
+      giveUp(progress);
     } else if (!dispatcher.eligible(progress.untried(), nowNanos).isEmpty()) {
       tryStart(progress, AttemptPurpose.RETRY, nowNanos);
     } else {
@@ -207,17 +210,18 @@
     }
   }
 
-  private boolean payForRetry(boolean afterShed) {
+  /** Charges a retry to the budget; false when too little of it is left. */
+  private boolean withdrawForRetry(boolean afterShed) {
     return afterShed ? kindState.budget().tryWithdrawAfterShed() : kindState.budget().tryWithdraw();
   }
 
   private void retryAfterBackoff(ShardProgress progress, long nowNanos) {
-    long backoff = RETRY_BACKOFF.toNanos() << progress.attempts();
-    long jittered = dispatcher.jitter(backoff);
+    long backoffNanos = RETRY_BACKOFF.toNanos() << progress.attempts();
+    long delayNanos = dispatcher.jitter(backoffNanos);
     int planNumber = replans;
-    progress.forgetTried();
+    progress.clearTriedBackends();
     timers.schedule(
-        nowNanos + jittered,
+        nowNanos + delayNanos,
         () -> {
           if (isCurrent(planNumber) && !progress.isSettled()) {
             tryStart(progress, AttemptPurpose.RETRY, dispatcher.nowNanos());
@@ -225,7 +229,10 @@
         });
   }
 
-  /** Starts over on a snapshot that is still held. False when that is not possible any more. */
+  /**
+   * Restarts the query with a new plan, on a snapshot that replicas still hold. Returns false if
+   * the query is finished, has no replan left or is past its deadline.
+   */
   private boolean replan(long nowNanos) {
     if (finished || replans >= MAXIMUM_REPLANS || nowNanos >= deadlineNanos) {
       return false;
@@ -283,15 +290,19 @@
     }
   }
 
-  private void lose(ShardProgress progress) {
+  /** Marks a shard as lost: this plan sends no further attempt for it. */
+  private void giveUp(ShardProgress progress) {
     progress.onLost();
-    if (!finishIfHopeless()) {
+    if (!failIfCoverageUnreachable()) {
       finishIfSettled();
     }
   }
 
-  /** Gives the query up at once when too many shards are lost for the kind's minimum. */
-  private boolean finishIfHopeless() {
+  /**
+   * Ends the query with an error as soon as the lost shards make the kind's minimum coverage
+   * unreachable. Returns whether the query is finished.
+   */
+  private boolean failIfCoverageUnreachable() {
     if (finished) {
       return true;
     }
@@ -366,12 +377,12 @@
     sink.accept(outcome);
   }
 
-  /** Settles every shard before cancelling any, so that freed room goes to other queries. */
+  /** Settles every shard before cancelling attempts, so that the room goes to other queries. */
   private void abandonPlan() {
     plan.shards().forEach(ShardProgress::onLost);
     for (ShardProgress progress : plan.shards()) {
       if (!progress.outstanding().isEmpty()) {
-        evidence.maybeRan();
+        evidence.recordPossibleRun();
       }
       dispatcher.cancelOutstanding(progress, Long.MAX_VALUE);
     }
