--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationCodec.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationCodec.java
@@ -8,8 +8,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads configuration documents: syntax, then schema, then {@link ConfigurationValidator}. A
- * document is taken whole or not at all.
+ * Reads and writes configuration documents. Checks the syntax, then the schema, then the rules of
+ * {@link ConfigurationValidator}. A document with any fault is rejected as a whole.
  */
 public final class ConfigurationCodec {
   private static final SchemaReader READER =
@@ -19,13 +19,13 @@
 
   private ConfigurationCodec() {}
 
-  /** Reads a document as people write it. JSON is read too, since it is a subset of YAML. */
+  /** Reads a document in YAML, the form in which operators write it, or in JSON, a subset. */
   public static Either<ImmutableList<ConfigurationFault>, ConfigurationDocument> fromYaml(
       String text) {
     return READER.readYaml(text, ConfigurationDocument.class).flatMap(ConfigurationCodec::check);
   }
 
-  /** Reads a document as the platform serves it. */
+  /** Reads a document in JSON, the form in which the platform serves it. */
   public static Either<ImmutableList<ConfigurationFault>, ConfigurationDocument> fromJson(
       String text) {
     return READER.readJson(text, ConfigurationDocument.class).flatMap(ConfigurationCodec::check);
@@ -41,8 +41,9 @@
   }
 
   /**
-   * The digest of the canonical form: the first 64 bits of SHA-256, in hexadecimal. It guards
-   * against accidents of the platform, not against forgery, and rides on every peer message.
+   * The digest of the canonical form: the first 64 bits of SHA-256, in hexadecimal. It is short
+   * because the messages between routers carry it. It detects faults of the platform, but does not
+   * protect against forgery.
    */
   public static String digest(ConfigurationDocument document) {
     return Hashing.sha256()
--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationDocument.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationDocument.java
@@ -8,14 +8,14 @@
 import java.util.Optional;
 
 /**
- * The versioned document that operators write and the platform serves. YAML for people, JSON on the
- * wire; the schema is {@code configuration.schema.json}.
+ * The versioned configuration document. Operators write it in YAML and the platform serves it in
+ * JSON; the schema is {@code configuration.schema.json}.
  *
- * @param version raised by the platform with every change
+ * @param version increased by the platform with each change
  * @param zones where routers and back ends run
  * @param layouts divisions of data into shards
- * @param backends servers that hold shards
- * @param kinds what callers may ask
+ * @param backends servers that store shards
+ * @param kinds kinds of query that callers may send
  */
 public record ConfigurationDocument(
     long version,
@@ -33,7 +33,7 @@
   /**
    * A zone.
    *
-   * @param voters ids of the routers whose majority accepts configurations for the zone
+   * @param voters ids of the routers of the zone, which vote on configurations
    */
   public record ZoneSpec(String name, String region, List<String> voters) {
     public ZoneSpec {
@@ -44,7 +44,7 @@
   /**
    * A division of data into shards.
    *
-   * @param generation raised whenever the set of shards or their shares change
+   * @param generation must be increased whenever the set of shards or their shares change
    */
   public record LayoutSpec(String name, int generation, List<ShardSpec> shards) {
     public LayoutSpec {
@@ -53,7 +53,7 @@
   }
 
   /**
-   * A shard and the fraction of the data that it holds; the shares of a layout add up to 1.
+   * A shard and its fraction of the data. The shares of a layout add up to 1.
    *
    * @param share from 0 to 1
    */
@@ -63,8 +63,8 @@
    * A back end.
    *
    * @param address IP number and port
-   * @param slots requests that it runs at once
-   * @param connections connections that it accepts in all
+   * @param slots number of requests that it runs at the same time
+   * @param connections number of connections that it accepts from all routers together
    */
   public record BackendSpec(
       String id,
@@ -86,11 +86,12 @@
   /**
    * A kind of query.
    *
-   * @param deadline the largest and default deadline, for example {@code 250ms}
-   * @param minimumCoverage the fraction below which a caller gets an error; from 0 to 1
-   * @param hedgeBudget extra attempts allowed per first attempt; from 0 to 1
+   * @param deadline the default deadline, which is also the longest allowed; for example {@code
+   *     250ms}
+   * @param minimumCoverage fraction of the data below which a caller gets an error; from 0 to 1
+   * @param hedgeBudget hedges allowed per first attempt; from 0 to 1
    * @param repeatable whether a request may be attempted more than once
-   * @param rules back ends chosen by any rule may serve the kind
+   * @param rules a back end may serve the kind when any of the rules selects it
    */
   public record KindSpec(
       String name,
@@ -109,9 +110,9 @@
   /**
    * One selection rule.
    *
-   * @param select label terms over back ends
-   * @param routerZones zones of the routers that the rule is for; all when absent
-   * @param window part of the day in which the rule holds; always when absent
+   * @param select label selector for back ends
+   * @param routerZones zones of the routers to which the rule applies; all when absent
+   * @param window time of day in which the rule applies; always when absent
    */
   @JsonInclude(JsonInclude.Include.NON_ABSENT)
   public record RuleSpec(
--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationFault.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationFault.java
@@ -3,9 +3,9 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * One fault in a document.
+ * A fault in a document.
  *
- * @param path where it is, as a JSON path, for example {@code $.kinds[2].layout}
+ * @param path JSON path of the faulty element, for example {@code $.kinds[2].layout}
  * @param message what is wrong
  */
 public record ConfigurationFault(String path, String message) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationSuccession.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationSuccession.java
@@ -8,22 +8,20 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Checks that one document can follow another; for operators, before they hand it over. */
+/** Checks that a document may replace another one. Operators run it before they publish one. */
 public final class ConfigurationSuccession {
   private static final int MAXIMUM_VOTER_CHANGES = 1;
 
   private ConfigurationSuccession() {}
 
-  /**
-   * The faults of {@code next} as the successor of {@code previous}; both are valid by themselves.
-   */
+  /** The faults of {@code next} as the successor of {@code previous}, both valid by themselves. */
   public static ImmutableList<ConfigurationFault> faults(
       ConfigurationDocument previous, ConfigurationDocument next) {
     ImmutableList.Builder<ConfigurationFault> faults = ImmutableList.builder();
     if (next.version() <= previous.version()) {
       faults.add(
           new ConfigurationFault(
-              "$.version", "must be higher than " + previous.version() + ", the one before"));
+              "$.version", "must be higher than " + previous.version() + ", the previous version"));
     }
     for (int i = 0; i < next.layouts().size(); i++) {
       checkLayout("$.layouts[" + i + "]", previous, next.layouts().get(i), faults);
@@ -44,11 +42,11 @@
     if (sameGeneration && !earlier.get().shards().equals(layout.shards())) {
       faults.add(
           new ConfigurationFault(
-              path + ".generation", "must be raised, since the shards have changed"));
+              path + ".generation", "must be increased because the shards have changed"));
     }
   }
 
-  /** Majorities of successive voter sets share a voter when the sets differ by one. */
+  /** Majorities of two voter sets have a voter in common only if the sets differ by at most one. */
   private static void checkVoters(
       ConfigurationDocument previous,
       ConfigurationDocument next,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationValidator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationValidator.java
@@ -20,9 +20,9 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Checks of a document that the schema cannot express: names, shares, selectors, windows. */
+/** Checks what the schema cannot express: names, addresses, shares, selectors, windows. */
 final class ConfigurationValidator {
-  /** Shares are decimal fractions written by people, so that their sum is compared with slack. */
+  /** Operators write shares as decimal fractions, whose sum may differ from 1 by rounding. */
   private static final double SHARE_TOLERANCE = 1e-6;
 
   private static final Duration MAXIMUM_DEADLINE = Duration.ofMinutes(1);
@@ -38,7 +38,7 @@
     this.document = document;
   }
 
-  /** All faults of a document, in the order in which they stand. */
+  /** All faults of a document: those of zones, then layouts, back ends and kinds. */
   static ImmutableList<ConfigurationFault> validate(ConfigurationDocument document) {
     ConfigurationValidator validator = new ConfigurationValidator(document);
     validator.checkZones();
@@ -56,7 +56,7 @@
       zoneNames.add(zone.name());
       for (int j = 0; j < zone.voters().size(); j++) {
         if (!voters.add(zone.voters().get(j))) {
-          fault("$.zones[" + i + "].voters[" + j + "]", "voter stands twice in the document");
+          fault("$.zones[" + i + "].voters[" + j + "]", "voter is listed more than once");
         }
       }
     }
@@ -74,7 +74,7 @@
       checkUnique(path, layout.shards(), ShardSpec::name, "shard");
       double sum = layout.shards().stream().mapToDouble(ShardSpec::share).sum();
       if (Math.abs(sum - 1.0) > SHARE_TOLERANCE) {
-        fault(path, "shares add up to " + sum + " in place of 1");
+        fault(path, "shares add up to " + sum + " instead of 1");
       }
     }
   }
@@ -126,7 +126,7 @@
         fault(path + ".hedgeBudget", "must be 0 for a kind that is not repeatable");
       }
       if (!kind.repeatable() && kind.operation() == Operation.SEARCH) {
-        fault(path + ".repeatable", "a search goes to many shards and must be repeatable");
+        fault(path + ".repeatable", "must be true for a search, which is sent to many shards");
       }
       for (int j = 0; j < kind.rules().size(); j++) {
         checkRule(path + ".rules[" + j + "]", kind, kind.rules().get(j));
@@ -166,7 +166,7 @@
     for (int i = 0; i < items.size(); i++) {
       String name = nameOf.apply(items.get(i));
       if (!seen.add(name)) {
-        fault(path + "[" + i + "]", what + " '" + name + "' stands twice");
+        fault(path + "[" + i + "]", what + " '" + name + "' is listed more than once");
       }
     }
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/Operation.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/Operation.java
@@ -2,19 +2,19 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** How a query is spread over shards. */
+/** What a query does and to which shards it is sent. */
 public enum Operation {
-  /** Sent to every shard and merged by score. */
+  /** Searches every shard; hits are merged by score. */
   @JsonProperty("search")
   SEARCH,
   /** Reads one document from the shard of its key. */
   @JsonProperty("fetch")
   FETCH,
-  /** Writes through the shard of its key. */
+  /** Writes to the shard of its key. */
   @JsonProperty("post")
   POST;
 
-  /** Whether a query of this kind goes to one shard, named by its key. */
+  /** Whether a query is sent only to the shard of its key. */
   public boolean isSingleShard() {
     return this != SEARCH;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/SchemaReader.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/SchemaReader.java
@@ -22,7 +22,7 @@
 import java.io.UncheckedIOException;
 import java.util.Comparator;
 
-/** Reads documents against a JSON schema and reports every fault with its path. Thread-safe. */
+/** Reads documents, validates them against a JSON schema and reports all faults. Thread-safe. */
 public final class SchemaReader {
   static final JsonMapper JSON =
       JsonMapper.builder()
@@ -43,7 +43,7 @@
     this.schema = schema;
   }
 
-  /** A reader for the schema that stands beside a class as a resource. */
+  /** Creates a reader for a schema that is a resource in the package of a class. */
   public static SchemaReader fromResource(Class<?> owner, String name) {
     try (InputStream stream = owner.getResourceAsStream(name)) {
       SchemaValidatorsConfig config =
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
@@ -20,17 +20,18 @@
 import java.util.function.Consumer;
 
 /**
- * Spreads configurations, decides when one is accepted, and holds the lease by which this node may
- * serve.
+ * Distributes configurations among routers, decides when one is accepted, and holds the lease that
+ * permits this node to serve queries.
  *
- * <p>A configuration is accepted when, within one round, a majority of every voting group says that
- * it holds that one or a later one. A node serves only while its lease is valid: a majority of the
- * group of its zone said, in a round begun at most {@link #LEASE} ago, that it holds nothing newer.
- * The two majorities share a voter, so that once a configuration is accepted every node that serves
- * has it in force within {@link #LEASE}.
+ * <p>A configuration is accepted when, within one round, a majority of every voting group reports
+ * that it holds this configuration or a later one. A node serves only while its lease is valid. The
+ * lease is extended when a majority of the voting group of its zone reports, within one round, that
+ * it holds nothing newer; it ends {@link #LEASE} after that round started. The two majorities have
+ * a voter in common. Therefore, {@link #LEASE} after a configuration was accepted, each node that
+ * still serves has it in force.
  */
 public final class ConfigurationAgreement implements ServingPermit {
-  /** How long a confirmed round lets a node serve, from the start of the round. */
+  /** How long a node may serve after the start of a round that a majority confirmed. */
   public static final Duration LEASE = Duration.ofSeconds(3);
 
   private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
@@ -55,9 +56,9 @@
   private Optional<ConfigurationId> majorityConflict = Optional.empty();
 
   /**
-   * Creates the agreement of one node, which holds nothing.
+   * Creates the agreement of one node, without a configuration.
    *
-   * @param onApplied told each configuration that comes into force
+   * @param onApplied called with each configuration that comes into force
    * @param onConfirmed called whenever the lease is extended
    */
   public ConfigurationAgreement(
@@ -76,27 +77,27 @@
     this.recovery = new VoterRecovery(membership.self().id(), clock.nanoTime(), routerList);
   }
 
-  /** Starts the rounds. */
+  /** Starts a confirmation round and schedules the next ones. */
   public void start() {
     runRounds();
   }
 
-  /** The configuration that this node holds. */
+  /** The configurations that this node has in force, knows as accepted, and refused last. */
   public ConfigurationStore store() {
     return store;
   }
 
-  /** Whether this node's statements count. */
+  /** Whether this node votes; a restarted node does so only after {@link VoterRecovery}. */
   public boolean isVoting() {
     return recovery.isVoting();
   }
 
-  /** Whether a voter of the group said that a later incarnation of this node exists. */
+  /** Whether another router reported a later incarnation of this node. */
   public boolean isSuperseded() {
     return superseded || membership.isSuperseded();
   }
 
-  /** Time left on the lease; zero when there is none. */
+  /** Remaining time of the lease; zero without a lease. */
   public Duration leaseLeft() {
     long left = leaseEndNanos == Long.MIN_VALUE ? 0 : leaseEndNanos - clock.nanoTime();
     return Duration.ofNanos(Math.max(0, left));
@@ -107,7 +108,10 @@
     return leaseEndNanos != Long.MIN_VALUE && nowNanos < leaseEndNanos && !isSuperseded();
   }
 
-  /** Starts a round at once, for a node that has woken and has callers waiting. */
+  /**
+   * Starts a round at once, unless the last one has only just started. Called when queries wait for
+   * the lease, for example after this process was suspended.
+   */
   public void confirmNow() {
     long nowNanos = clock.nanoTime();
     if (round == null || nowNanos - round.startNanos() >= LEAST_ROUND_SPACING.toNanos()) {
@@ -115,7 +119,7 @@
     }
   }
 
-  /** Takes a document from the platform or from a peer. */
+  /** Handles a configuration document from the platform or from another router. */
   public ConfigurationStore.Offer onDocument(String json) {
     boolean fromMajority = majorityConflict.isPresent();
     ConfigurationStore.Offer offer = fromMajority ? offerIfMajority(json) : store.offer(json);
@@ -125,14 +129,17 @@
     return offer;
   }
 
-  /** Takes the platform's list, which helps a voter to recover after many were lost. */
+  /**
+   * Handles the platform's list of machines. A voter that recovers needs it when too many other
+   * voters are lost to form a majority.
+   */
   public void onMachineList(MachineList list) {
     if (groups != null) {
       routerList.onList(list, groups.voters(), clock.nanoTime());
     }
   }
 
-  /** Takes the configuration ids that ride on pings. */
+  /** Handles the configuration ids that pings and other messages from a router carry. */
   public void onNews(MemberRecord sender, ConfigurationId inForce, ConfigurationId accepted) {
     noteIncarnation(sender.id(), sender.incarnation());
     if (accepted.equals(store.inForceId())) {
@@ -143,7 +150,7 @@
     }
   }
 
-  /** Answers a request for the document. */
+  /** Sends the document in force to the router that requested it. */
   public void onConfigurationRequest(MemberRecord sender) {
     store
         .inForce()
@@ -155,7 +162,7 @@
                         ConfigurationCodec.toJson(configuration.document()))));
   }
 
-  /** Answers a round of another node. */
+  /** Replies to a confirmation request of another router. */
   public void onConfirmRequest(MemberRecord sender, PeerBody.ConfirmRequest request) {
     noteIncarnation(sender.id(), sender.incarnation());
     boolean outdated = knownIncarnations.get(sender.id()) > sender.incarnation();
@@ -174,7 +181,11 @@
     }
   }
 
-  /** Takes a voter's statement. */
+  /**
+   * Handles a voter's reply. It is ignored when it was meant for an earlier incarnation of this
+   * node, belongs to an earlier round or is late, or when a later incarnation of the sender is
+   * known.
+   */
   public void onConfirmReply(MemberRecord sender, PeerBody.ConfirmReply reply) {
     if (reply.askerIncarnation() != membership.self().incarnation()) {
       return;
@@ -218,7 +229,7 @@
     evaluate(nowNanos);
   }
 
-  /** The own group always; the other groups only while the configuration awaits acceptance. */
+  /** The voters of the own group, and those of all groups until the configuration is accepted. */
   private Iterable<String> votersToAsk() {
     boolean accepted = store.accepted().equals(store.inForceId());
     return accepted ? groups.groupOfZone(zone).voters() : groups.voters();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationStore.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationStore.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * The configuration that a node holds. It only moves forward: to a higher version, or to another
- * body of the same version when a majority holds that one.
+ * The configuration that a node has in force. It is replaced only by a higher version, or by a
+ * different document with the same version when a majority holds that one.
  */
 public final class ConfigurationStore {
   private Optional<Configuration> inForce = Optional.empty();
@@ -21,17 +21,17 @@
   /**
    * The newest document that was refused.
    *
-   * @param version as the document says; 0 when it could not be read
+   * @param version the version of the document; 0 when it could not be read
    */
   public record RefusedConfiguration(long version, ImmutableList<ConfigurationFault> faults) {}
 
-  /** What became of a document. */
+  /** The result of offering a document. */
   public enum Offer {
-    /** It is in force now. */
+    /** The document is now in force. */
     APPLIED,
-    /** It is in force already, or older. */
+    /** The document was in force already, or is older than the one in force. */
     KNOWN,
-    /** It has faults, or another body than the one in force under the same version. */
+    /** The document has faults, or differs from the one in force with the same version. */
     REFUSED
   }
 
@@ -55,17 +55,20 @@
     return refused;
   }
 
-  /** Takes a document from the platform or a peer. */
+  /** Applies a document from the platform or another router if it is valid and newer. */
   public Offer offer(String json) {
     return take(json, false);
   }
 
-  /** Takes a document that a majority holds, even when another body of its version is in force. */
+  /**
+   * Applies a document that a majority holds. Unlike {@link #offer}, also replaces a different
+   * document with the same version.
+   */
   public Offer offerFromMajority(String json) {
     return take(json, true);
   }
 
-  /** Notes that a configuration is accepted. */
+  /** Records that a configuration is accepted. */
   public void onAccepted(ConfigurationId id) {
     if (id.version() > accepted.version()) {
       accepted = id;
@@ -87,7 +90,7 @@
           candidate.id().version(),
           ImmutableList.of(
               new ConfigurationFault(
-                  "$.version", "the version in force has this number and another body")));
+                  "$.version", "a different document with this version is in force")));
     }
     inForce = Optional.of(candidate);
     refused = Optional.empty();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfirmationRound.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfirmationRound.java
@@ -8,11 +8,11 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 
-/** The statements that voters made in answer to one round of requests. */
+/** The replies of voters to one round of confirmation requests. */
 final class ConfirmationRound {
   /**
-   * Statements that come later are not counted. Shorter than the least recovery time, so that no
-   * voter that made a statement can have been replaced and recovered within its round.
+   * Later replies are not counted. Shorter than {@link VoterRecovery#LEAST_RECOVERY_TIME}, so that
+   * no voter that replied can have restarted and recovered within the same round.
    */
   static final Duration TIMEOUT = Duration.ofMillis(800);
 
@@ -20,7 +20,7 @@
   private final long startNanos;
   private final Map<String, Statement> statements = new HashMap<>();
 
-  /** What one voter said. */
+  /** What one voter replied: whether it votes and which configuration it has in force. */
   record Statement(boolean voting, ConfigurationId held) {}
 
   ConfirmationRound(long number, long startNanos) {
@@ -48,12 +48,12 @@
     return Optional.ofNullable(statements.get(voter));
   }
 
-  /** Whether a majority of the group votes and meets the condition. */
+  /** Whether a majority of the group votes and has a configuration that meets the condition. */
   boolean hasMajority(VotingGroup group, Predicate<ConfigurationId> condition) {
     return countVoting(group, condition) >= group.majority();
   }
 
-  /** Voting members of the group whose configuration meets the condition. */
+  /** The number of voting members of the group whose configuration meets the condition. */
   int countVoting(VotingGroup group, Predicate<ConfigurationId> condition) {
     int count = 0;
     for (String voter : group.voters()) {
@@ -65,7 +65,7 @@
     return count;
   }
 
-  /** The configurations that members of the group hold, voting or not. */
+  /** The configurations of the members that replied, voting or not. */
   ImmutableList<ConfigurationId> held(VotingGroup group) {
     return group.voters().stream()
         .flatMap(voter -> statementOf(voter).stream())
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/RouterList.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/RouterList.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** How long the platform's list has been without a router, judged only while the list is fresh. */
+/**
+ * Tracks how long voters have been missing from the platform's list of machines. Without a list
+ * that is at most {@link #FRESHNESS} old, no voter counts as missing, and the times start anew.
+ */
 final class RouterList {
   private static final Duration FRESHNESS = Duration.ofSeconds(5);
 
@@ -34,7 +37,7 @@
     lastListNanos = nowNanos;
   }
 
-  /** Whether a fresh list has lacked the router for at least this long. */
+  /** Whether the list is fresh and has been without the router for at least this long. */
   boolean isMissingFor(String router, Duration length, long nowNanos) {
     Long since = missingSinceNanos.get(router);
     return since != null && isFresh(nowNanos) && nowNanos - since >= length.toNanos();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VoterRecovery.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VoterRecovery.java
@@ -6,19 +6,24 @@
 import java.time.Duration;
 
 /**
- * Decides when a restarted voter may vote again. Nodes keep nothing over a restart, so that a new
- * incarnation must first learn whatever its earlier ones may have helped to accept.
+ * Decides when a restarted voter may vote again. Nodes persist nothing across a restart. A new
+ * incarnation must therefore first learn of every configuration that its earlier ones may have
+ * helped to accept.
  *
- * <p>It recovers from a majority of its group other than itself, each of which has then also noted
- * the new incarnation and refuses older ones. Where no such majority exists (a start from nothing,
- * or several members lost at once) every other member must either be heard or be missing from the
- * platform's list for some time.
+ * <p>A voter recovers when a majority of its group, not counting itself, has replied in one round.
+ * Those members have then also recorded the new incarnation and refuse older ones. Where no such
+ * majority exists (the first start of a fleet, or several members lost at once), each other member
+ * must have either replied or been missing from the platform's list for {@link #GONE_AFTER}. In
+ * both cases, the voter must have in force the newest configuration that any member reported.
  */
 final class VoterRecovery {
-  /** Longer than {@link ConfirmationRound#TIMEOUT}, see there. */
+  /**
+   * Longer than {@link ConfirmationRound#TIMEOUT}, so that a voter cannot reply, restart and
+   * recover within one round.
+   */
   static final Duration LEAST_RECOVERY_TIME = Duration.ofSeconds(1);
 
-  /** How long the platform's list must lack a silent voter before it counts as gone. */
+  /** How long a voter must be missing from the platform's list before it counts as gone. */
   static final Duration GONE_AFTER = Duration.ofSeconds(10);
 
   private final String nodeId;
@@ -36,7 +41,7 @@
     return voting;
   }
 
-  /** Looks at a round and starts to vote when it suffices. */
+  /** Makes this node a voter when the replies of the round suffice. */
   void evaluate(
       ConfirmationRound round, VotingGroup group, ConfigurationId inForce, long nowNanos) {
     boolean early = nowNanos - startNanos < LEAST_RECOVERY_TIME.toNanos();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VotingGroup.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VotingGroup.java
@@ -2,9 +2,9 @@
 
 import com.google.common.collect.ImmutableSet;
 
-/** Routers whose majority decides together. */
+/** A set of routers that decides by majority. */
 public record VotingGroup(String name, ImmutableSet<String> voters) {
-  /** The smallest number of voters that any two such sets share one of. */
+  /** The smallest size at which any two subsets of the voters have a voter in common. */
   public int majority() {
     return voters.size() / 2 + 1;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VotingGroups.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VotingGroups.java
@@ -13,10 +13,11 @@
 /**
  * The voting groups of a configuration.
  *
- * <p>A zone with at least three voters is a group of its own. Smaller zones are joined with the
- * other small zones of their region; when that is still too small, with all small zones of the
- * fleet; and when that is too small, with all zones. A group of one or two cannot lose a member and
- * go on.
+ * <p>A zone with at least three voters is a group of its own. A smaller zone forms a group with the
+ * other small zones of its region. If that group has fewer than three voters, the zone joins a
+ * group for the whole fleet, made of all such zones. If that one is still too small, the voters of
+ * all zones are added to it. A group of one or two voters could not lose a member and still have a
+ * majority.
  */
 public final class VotingGroups {
   private static final int SMALLEST_GROUP = 3;
@@ -28,7 +29,7 @@
     this.groupByZone = groupByZone;
   }
 
-  /** Derives the groups; every node derives the same from the same document. */
+  /** Derives the groups. Every node derives the same groups from the same document. */
   public static VotingGroups of(ConfigurationDocument document) {
     Map<String, Integer> smallVotersByRegion = new HashMap<>();
     for (ZoneSpec zone : document.zones()) {
@@ -53,7 +54,7 @@
     return new VotingGroups(groups.buildOrThrow());
   }
 
-  /** The group that confirms the routers of a zone; empty voters when the zone is not known. */
+  /** The group that confirms the routers of a zone; it has no voters when the zone is unknown. */
   public VotingGroup groupOfZone(String zone) {
     return groupByZone.getOrDefault(zone, new VotingGroup(zone, ImmutableSet.of()));
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/PlatformTransport.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/PlatformTransport.java
@@ -1,13 +1,14 @@
 package io.arrowarch.core.router;
 
 /**
- * Asks the platform; answers come back through {@link RouterCore#onPlatformConfiguration} and
- * {@link RouterCore#onMachineList}. A request that fails is not reported.
+ * Sends requests to the platform. Responses are delivered through {@link
+ * RouterCore#onPlatformConfiguration} and {@link RouterCore#onMachineList}; failures are not
+ * reported.
  */
 public interface PlatformTransport {
-  /** Asks for the configuration document. */
+  /** Requests the configuration document. */
   void fetchConfiguration();
 
-  /** Asks for the list of live and leaving machines. */
+  /** Requests the list of live and leaving machines. */
   void fetchMachineList();
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/QueryService.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/QueryService.java
@@ -25,11 +25,14 @@
 import java.util.stream.Stream;
 
 /**
- * What stands between a caller and the coordinator: planned stop, the right to serve, and tickets
- * of non-repeatable requests.
+ * Receives queries and passes them to the coordinator. Refuses them during a planned stop, holds
+ * them until this node has a lease, and runs each non-repeatable request once per ticket.
  */
 final class QueryService {
-  /** How long a query may wait for the lease of a node that has just started or woken. */
+  /**
+   * How long a query may wait for the lease, which is missing for example after a start or a
+   * suspension of the process.
+   */
   private static final Duration LONGEST_CONFIRMATION_WAIT = Duration.ofMillis(400);
 
   private static final char SEPARATOR = '\n';
@@ -69,7 +72,7 @@
     draining = true;
   }
 
-  /** Whether a planned stop has begun; queries are taken until {@link #drain}. */
+  /** Whether a planned stop has begun. Queries are still accepted until {@link #drain}. */
   boolean isLeaving() {
     return leaving;
   }
@@ -87,21 +90,23 @@
           sink.accept(outcome);
         };
     if (draining) {
-      counted.accept(refusal(ErrorKind.DRAINING, "this node is stopping; ask another"));
+      counted.accept(
+          refusal(ErrorKind.DRAINING, "this router is stopping; send the query to another one"));
       return;
     }
     long arrivalNanos = clock.nanoTime();
     if (agreement.isConfirmed(arrivalNanos)) {
       dispatch(request, arrivalNanos, counted);
     } else if (agreement.isSuperseded()) {
-      counted.accept(refusal(ErrorKind.NOT_CONFIRMED, "a later incarnation of this node runs"));
+      counted.accept(
+          refusal(ErrorKind.NOT_CONFIRMED, "a later incarnation of this router is running"));
     } else {
       awaitLease(request, arrivalNanos, counted);
       agreement.confirmNow();
     }
   }
 
-  /** Runs the queries that have waited for the lease. */
+  /** Runs the queries that are waiting for the lease. */
   void onConfirmed() {
     List<Runnable> ready = ImmutableList.copyOf(awaitingLease);
     awaitingLease.clear();
@@ -109,8 +114,8 @@
   }
 
   /**
-   * Runs a query once the configuration is confirmed. Not earlier: without one it is not known
-   * whether the kind is repeatable.
+   * Runs a query. The configuration must be confirmed, because it says whether the kind is
+   * repeatable.
    */
   private void dispatch(
       QueryRequest request, long arrivalNanos, Consumer<Either<QueryError, QueryAnswer>> sink) {
@@ -130,7 +135,7 @@
           Either.left(
               QueryError.of(
                   ErrorKind.TICKET_REQUIRED,
-                  "this kind is not repeatable; send the request again with the ticket given")));
+                  "this kind is not repeatable; send the request again with the ticket in this response")));
       return;
     }
     Optional<Ticket> ticket = Ticket.parse(request.ticket().get());
@@ -176,7 +181,7 @@
               sink.accept(
                   refusal(
                       ErrorKind.NOT_CONFIRMED,
-                      "no majority of this zone's routers confirms the configuration"));
+                      "no majority of the voting group of this zone has confirmed the configuration"));
             });
     onLease[0] =
         () -> {
@@ -186,7 +191,10 @@
     awaitingLease.add(onLease[0]);
   }
 
-  /** Half of the deadline, so that the query can still run; bounded when that is not known. */
+  /**
+   * Half of the deadline, so that time is left to run the query, but at most {@link
+   * #LONGEST_CONFIRMATION_WAIT}, which also applies when no deadline is known.
+   */
   private Duration confirmationWait(QueryRequest request) {
     Optional<Duration> kindDeadline =
         coordinator
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterCore.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterCore.java
@@ -34,19 +34,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The decisions of one router. Events come in through its methods, what it wants done goes out
- * through {@link RouterTransports}, and time comes from {@link RouterClock}.
+ * The logic of one router, without input or output of its own. It receives events through its
+ * methods, sends through {@link RouterTransports}, and reads the time from {@link RouterClock}.
  *
- * <p>Not thread-safe: the owner serialises all calls, and calls {@link #runTimers} no later than
- * {@link #nextTimerNanos} says. Calling it late is safe.
+ * <p>Not thread-safe: the caller serialises all calls. It should call {@link #runTimers} at the
+ * time that {@link #nextTimerNanos} returns; a late call is safe.
  */
 public final class RouterCore {
   private static final Duration PLATFORM_POLL_INTERVAL = Duration.ofSeconds(1);
 
-  /** Routers of a zone up to which each polls at the shortest interval. */
+  /** Number of routers in a zone above which each polls at a longer interval. */
   private static final int ROUTERS_POLLING_FULLY = 3;
 
-  /** Routers of this interface do not say how much processor they have. */
+  /** Routers with the JSON interface do not report their processor cores. */
   private static final double UNKNOWN_CORES = 0;
 
   private final RouterOptions options;
@@ -62,7 +62,7 @@
   private final QueryService service;
   private final StatusReporter statusReporter;
 
-  /** Creates a router that holds nothing and serves nobody yet. */
+  /** Creates a router without a configuration; it serves queries once it has confirmed one. */
   public RouterCore(
       RouterOptions options,
       RouterClock clock,
@@ -101,7 +101,7 @@
         new StatusReporter(identity, clock, service, coordinator, agreement, replicas);
   }
 
-  /** Starts membership, confirmation, probing and polling. */
+  /** Starts membership, confirmation rounds, probes and polling of the platform. */
   public void start() {
     membership.start();
     agreement.start();
@@ -112,13 +112,13 @@
   /**
    * Runs a caller's query.
    *
-   * @param sink told the outcome exactly once, perhaps before this method returns
+   * @param sink called with the outcome exactly once, possibly before this method returns
    */
   public void submit(QueryRequest request, Consumer<Either<QueryError, QueryAnswer>> sink) {
     service.submit(request, sink);
   }
 
-  /** A ticket for one non-repeatable request, redeemable at this incarnation only. */
+  /** Issues a ticket for one non-repeatable request, valid only at this incarnation. */
   public Ticket issueTicket() {
     return service.issueTicket();
   }
@@ -138,17 +138,17 @@
     return coordinator.mayWrite(attemptId);
   }
 
-  /** Takes the answer to a probe. */
+  /** Handles the reply to a probe. */
   public void onProbeReply(String backendId, BackendReport report) {
     replicas.onReport(backendId, report, clock.nanoTime());
   }
 
-  /** Takes a configuration from the platform. */
+  /** Handles a configuration document from the platform. */
   public ConfigurationStore.Offer onPlatformConfiguration(String json) {
     return agreement.onDocument(json);
   }
 
-  /** Takes the platform's list. */
+  /** Handles the platform's list of machines. */
   public void onMachineList(MachineList list) {
     replicas.onMachineList(list);
     agreement.onMachineList(list);
@@ -159,7 +159,7 @@
             .toList());
   }
 
-  /** Takes a message from another router. */
+  /** Handles a message from another router. */
   public void onPeerMessage(PeerMessage message) {
     MemberRecord sender = message.sender();
     boolean wasKnown = membership.isKnown(sender);
@@ -186,13 +186,13 @@
     }
   }
 
-  /** First step of a planned stop: peers are told, queries are still taken. */
+  /** First step of a planned stop: tells other routers; queries are still accepted. */
   public void announceLeaving() {
     service.announceLeaving();
     membership.leave();
   }
 
-  /** Second step of a planned stop: queries in progress finish, new ones are refused. */
+  /** Second step of a planned stop: refuses new queries; those in progress continue. */
   public void refuseNewQueries() {
     service.drain();
   }
@@ -202,24 +202,24 @@
     return service.pending();
   }
 
-  /** Whether queries would be served now. */
+  /** Whether queries are served now: a lease, a configuration, and no planned stop. */
   public boolean isReady() {
     return !service.isLeaving()
         && agreement.isConfirmed(clock.nanoTime())
         && coordinator.configuration().isPresent();
   }
 
-  /** The configuration in force and its acceptance. */
+  /** The configuration in force, the newest accepted one, and the last one refused. */
   public ConfigurationStore configurationStore() {
     return agreement.store();
   }
 
-  /** For operators. */
+  /** A snapshot of the state, for operators. */
   public RouterStatus status() {
     return statusReporter.status(membership.members());
   }
 
-  /** Whether this router believes that another one is dead. */
+  /** Whether another router is in state {@link MemberRecord.State#DEAD} here. */
   public boolean knowsDead(String routerId) {
     return membership
         .find(routerId)
@@ -227,12 +227,12 @@
         .isPresent();
   }
 
-  /** For metrics. */
+  /** The counters of queries, for metrics. */
   public QueryCounters counters() {
     return coordinator.counters();
   }
 
-  /** Runs what is due. */
+  /** Runs the timers that are due. */
   public void runTimers() {
     timers.runDue(clock.nanoTime());
   }
@@ -291,7 +291,10 @@
     service.onConfirmed();
   }
 
-  /** Polls at a rate that stays the same for a whole zone, however many routers it has. */
+  /**
+   * Polls the platform and schedules the next poll. Above {@link #ROUTERS_POLLING_FULLY} routers
+   * the interval grows with their number, so that the load from a zone does not.
+   */
   private void pollPlatform() {
     transports.platform().fetchConfiguration();
     transports.platform().fetchMachineList();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterOptions.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterOptions.java
@@ -5,11 +5,11 @@
 import io.arrowarch.core.query.NodeIdentity;
 
 /**
- * What a router core is told at its start.
+ * The options of a router core.
  *
- * @param peerAddress where other routers reach this one
- * @param contacts peer addresses to try first
- * @param maximumQueries queries in progress above which new ones are refused
+ * @param peerAddress address at which other routers reach this one
+ * @param contacts addresses of other routers to contact at the start
+ * @param maximumQueries limit of queries in progress; further ones are refused
  */
 public record RouterOptions(
     NodeIdentity identity,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterStatus.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterStatus.java
@@ -8,15 +8,15 @@
 import java.util.Optional;
 
 /**
- * What a router shows to operators.
+ * The state of a router, for operators.
  *
  * @param state {@code serving}, {@code unconfirmed}, {@code superseded} or {@code draining}
- * @param inForce the configuration by which queries are planned
- * @param accepted the newest one that a majority of every voting group is known to hold
+ * @param inForce the configuration used to plan queries
+ * @param accepted the newest configuration known to be held by a majority of every voting group
  * @param refused the newest document that was refused, with its faults
- * @param voting whether this node's statements count towards acceptance
- * @param leaseLeftMillis how long it may go on serving without another confirmation
- * @param queriesInProgress received and not yet answered
+ * @param voting whether this router counts as a voter
+ * @param leaseLeftMillis how long this router may serve without another confirmation
+ * @param queriesInProgress queries received and not yet answered
  */
 public record RouterStatus(
     String id,
@@ -33,13 +33,12 @@
     ImmutableList<BackendStatus> backends) {
 
   /**
-   * What a router knows of a back end.
+   * The state of a back end as this router knows it.
    *
-   * @param reason why it gets no new work; empty when it may get some
-   * @param inFlight this router's attempts outstanding there
-   * @param limit attempts that this router keeps in flight there at most
-   * @param reasonsByKind why the selectors of a kind leave it out; {@code eligible} when they do
-   *     not
+   * @param reason why it is sent no new work; empty when it is eligible
+   * @param inFlight attempts of this router in progress there
+   * @param limit most attempts that this router may have in progress there
+   * @param reasonsByKind by query kind, why its rules exclude this back end, or {@code eligible}
    */
   public record BackendStatus(
       String id,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterTransports.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterTransports.java
@@ -6,7 +6,7 @@
 import io.arrowarch.core.query.AttemptTransport;
 import io.arrowarch.core.replica.ProbeTransport;
 
-/** All that a router core does to the outside. */
+/** The interfaces through which a router core sends messages and requests. */
 public record RouterTransports(
     AttemptTransport attempts,
     ProbeTransport probes,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/StatusReporter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/StatusReporter.java
@@ -17,7 +17,7 @@
 import io.arrowarch.core.wire.BackendReport;
 import java.util.Optional;
 
-/** Puts together {@link RouterStatus}. */
+/** Builds the {@link RouterStatus} of a router. */
 final class StatusReporter {
   private static final String ELIGIBLE = "eligible";
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/topology/Backend.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/topology/Backend.java
@@ -11,9 +11,9 @@
  * A configured back end.
  *
  * @param address IP number and port
- * @param slots requests that it runs at once
- * @param connections connections that it accepts in all
- * @param holdings shard by layout name
+ * @param slots number of requests that it runs at the same time
+ * @param connections number of connections that it accepts from all routers together
+ * @param holdings name of the shard that it stores, by layout name
  */
 public record Backend(
     String id,
@@ -23,7 +23,7 @@
     int slots,
     int connections,
     ImmutableMap<String, String> holdings) {
-  /** Compiles a back end of a document. */
+  /** Converts a back end of a document. */
   public static Backend of(BackendSpec spec) {
     return new Backend(
         spec.id(),
@@ -35,7 +35,7 @@
         spec.holds().stream().collect(toImmutableMap(HoldingSpec::layout, HoldingSpec::shard)));
   }
 
-  /** The shard of a layout that it holds, if any. */
+  /** The shard of a layout that it stores, if any. */
   public Optional<String> shardOf(String layout) {
     return Optional.ofNullable(holdings.get(layout));
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/topology/Configuration.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/topology/Configuration.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** A valid document in compiled form: selectors parsed, names resolved. Immutable. */
+/** A valid document with its selectors parsed and its names resolved. Immutable. */
 public final class Configuration {
   private final ConfigurationDocument document;
   private final ConfigurationId id;
@@ -54,7 +54,7 @@
     return id;
   }
 
-  /** How many routers the document names; they share the connections of the back ends. */
+  /** Number of routers in the document, among which the connections of back ends are divided. */
   public int routerCount() {
     return document.zones().stream().mapToInt(zone -> zone.voters().size()).sum();
   }
@@ -74,7 +74,7 @@
     return kinds;
   }
 
-  /** The kind of this name. */
+  /** The kind with this name, if any. */
   public Optional<QueryKind> kind(String name) {
     return Optional.ofNullable(kinds.get(name));
   }
@@ -82,8 +82,8 @@
   /**
    * Decides which back ends may serve a kind.
    *
-   * @param routerZone the zone of the router that asks
-   * @param wallTime decides which windows are open
+   * @param routerZone the zone of the router that selects
+   * @param wallTime the time at which the windows of rules must be open
    */
   public Selection select(QueryKind kind, String routerZone, Instant wallTime) {
     return Selection.of(kind, backendsByLayout.get(kind.layout().name()), routerZone, wallTime);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/topology/Layout.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/topology/Layout.java
@@ -11,16 +11,17 @@
  * A division of data into shards.
  *
  * @param name the name that kinds and back ends refer to
- * @param generation tells an earlier set of shards of the same name from a later one
- * @param shards in the order of the document, which fixes the key ranges
+ * @param generation distinguishes successive sets of shards under the same name
+ * @param shards in the order of the document, which determines their key ranges
  */
 public record Layout(String name, int generation, ImmutableList<Shard> shards) {
+  /** Number of values of a 32-bit hash. */
   private static final double HASH_RANGE = 4294967296.0;
 
   /** A shard with its fraction of the data. */
   public record Shard(String name, double share) {}
 
-  /** Compiles the layout of a document. */
+  /** Converts a layout of a document. */
   public static Layout of(LayoutSpec spec) {
     return new Layout(
         spec.name(),
@@ -30,12 +31,12 @@
             .collect(toImmutableList()));
   }
 
-  /** What requests and replies carry: {@code name/generation}. */
+  /** The id in requests and replies: {@code name/generation}. */
   public String id() {
     return name + "/" + generation;
   }
 
-  /** The shard that holds a key: its 32-bit Murmur3 hash, placed on the cumulative shares. */
+  /** The shard of a key: each owns a part of the 32-bit Murmur3 hash range equal to its share. */
   public Shard shardOfKey(String key) {
     int hash = Hashing.murmur3_32_fixed().hashString(key, StandardCharsets.UTF_8).asInt();
     double point = Integer.toUnsignedLong(hash) / HASH_RANGE;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/topology/QueryKind.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/topology/QueryKind.java
@@ -7,11 +7,11 @@
 import java.time.Duration;
 
 /**
- * A kind of query in compiled form.
+ * A kind of query with its layout resolved and its rules parsed.
  *
- * @param deadline the largest and default deadline
- * @param minimumCoverage the fraction below which a caller gets an error
- * @param hedgeBudget extra attempts allowed per first attempt
+ * @param deadline the default deadline, which is also the longest allowed
+ * @param minimumCoverage fraction of the data below which a caller gets an error; from 0 to 1
+ * @param hedgeBudget hedges allowed per first attempt; from 0 to 1
  * @param repeatable whether a request may be attempted more than once
  */
 public record QueryKind(
@@ -23,7 +23,7 @@
     double hedgeBudget,
     boolean repeatable,
     ImmutableList<SelectionRule> rules) {
-  /** Compiles a kind whose layout is resolved. */
+  /** Converts a kind of a document, with its resolved layout. */
   public static QueryKind of(KindSpec spec, Layout layout) {
     return new QueryKind(
         spec.name(),
--- a/arrowarch-core/src/main/java/io/arrowarch/core/topology/Selection.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/topology/Selection.java
@@ -7,10 +7,11 @@
 import java.util.Optional;
 
 /**
- * What the rules of a kind choose for one zone and moment.
+ * The back ends that the rules of a kind select for the routers of one zone at one time.
  *
- * @param byShard chosen back ends by shard name
- * @param reasonsAgainst for each back end left out, the reason of each rule, joined by semicolons
+ * @param byShard selected back ends by shard name
+ * @param reasonsAgainst by id of each excluded back end, the reasons of all rules, joined by
+ *     semicolons
  */
 public record Selection(
     ImmutableListMultimap<String, Backend> byShard, ImmutableMap<String, String> reasonsAgainst) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/topology/SelectionRule.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/topology/SelectionRule.java
@@ -9,13 +9,13 @@
 import java.util.Optional;
 
 /**
- * A rule that lets back ends serve a kind.
+ * A rule that selects back ends which may serve a kind.
  *
- * @param routerZones zones of the routers that the rule is for; empty means all
+ * @param routerZones zones of the routers to which the rule applies; empty means all
  */
 public record SelectionRule(
     LabelSelector selector, ImmutableSet<String> routerZones, Optional<DayWindow> window) {
-  /** Compiles a rule of a valid document. */
+  /** Converts a rule of a valid document. */
   public static SelectionRule of(RuleSpec spec) {
     return new SelectionRule(
         LabelSelector.parse(spec.select()),
@@ -23,10 +23,10 @@
         spec.window().map(DayWindow::parse));
   }
 
-  /** Why the rule does not choose the back end, or empty when it does. */
+  /** Why the rule does not select the back end; empty when it does. */
   Optional<String> reasonAgainst(Backend backend, String routerZone, Instant wallTime) {
     if (!routerZones.isEmpty() && !routerZones.contains(routerZone)) {
-      return Optional.of("rule is not for routers in zone " + routerZone);
+      return Optional.of("rule does not apply to routers in zone " + routerZone);
     }
     if (window.isPresent() && !window.get().contains(wallTime)) {
       return Optional.of("window " + window.get() + " is closed");
