--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationDocument.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationDocument.java
@@ -89,7 +89,7 @@
    * @param deadline the default deadline, which is also the longest allowed; for example {@code
    *     250ms}
    * @param minimumCoverage fraction of the data below which a caller gets an error; from 0 to 1
-   * @param hedgeBudget hedges allowed per first attempt; from 0 to 1
+   * @param hedgeBudget hedges and retries allowed per first attempt; from 0 to 1
    * @param repeatable whether a request may be attempted more than once
    * @param rules a back end may serve the kind when any of the rules selects it
    */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/QueryService.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/QueryService.java
@@ -135,7 +135,8 @@
           Either.left(
               QueryError.of(
                   ErrorKind.TICKET_REQUIRED,
-                  "this kind is not repeatable; send the request again with the ticket in this response")));
+                  "this kind is not repeatable; send the request again with the ticket in this"
+                      + " response")));
       return;
     }
     Optional<Ticket> ticket = Ticket.parse(request.ticket().get());
@@ -181,7 +182,8 @@
               sink.accept(
                   refusal(
                       ErrorKind.NOT_CONFIRMED,
-                      "no majority of the voting group of this zone has confirmed the configuration"));
+                      "no majority of the voting group of this zone has confirmed the"
+                          + " configuration"));
             });
     onLease[0] =
         () -> {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/topology/QueryKind.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/topology/QueryKind.java
@@ -11,7 +11,7 @@
  *
  * @param deadline the default deadline, which is also the longest allowed
  * @param minimumCoverage fraction of the data below which a caller gets an error; from 0 to 1
- * @param hedgeBudget hedges allowed per first attempt; from 0 to 1
+ * @param hedgeBudget hedges and retries allowed per first attempt; from 0 to 1
  * @param repeatable whether a request may be attempted more than once
  */
 public record QueryKind(
