--- a/arrowarch-cli/src/main/java/io/arrowarch/cli/ExplainCommand.java
+++ b/arrowarch-cli/src/main/java/io/arrowarch/cli/ExplainCommand.java
@@ -45,7 +45,7 @@
         out.printf("%s: eligible for shard %s%n", backend.id(), shard);
       }
     }
-    selection.reasonsAgainst().forEach((id, reason) -> out.printf("%s: %s%n", id, reason));
+    selection.exclusionReasons().forEach((id, reason) -> out.printf("%s: %s%n", id, reason));
     return ExitCode.OK;
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
@@ -7,7 +7,7 @@
 import io.arrowarch.core.peer.MemberRecord;
 import io.arrowarch.core.peer.PeerBody;
 import io.arrowarch.core.query.ServingPermit;
-import io.arrowarch.core.quorum.ConfirmationRound.Statement;
+import io.arrowarch.core.quorum.ConfirmationRound.VoterReply;
 import io.arrowarch.core.time.RouterClock;
 import io.arrowarch.core.time.TimerQueue;
 import io.arrowarch.core.topology.Configuration;
@@ -35,7 +35,7 @@
   public static final Duration LEASE = Duration.ofSeconds(3);
 
   private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
-  private static final Duration LEAST_ROUND_SPACING = Duration.ofMillis(50);
+  private static final Duration MINIMUM_ROUND_SPACING = Duration.ofMillis(50);
   private static final int PUSH_FAN_OUT = 4;
 
   private final String zone;
@@ -43,7 +43,7 @@
   private final TimerQueue timers;
   private final Membership membership;
   private final ConfigurationStore store = new ConfigurationStore();
-  private final RouterList routerList = new RouterList();
+  private final MissingRouters missingRouters = new MissingRouters();
   private final VoterRecovery recovery;
   private final Map<String, Long> knownIncarnations = new HashMap<>();
   private final Consumer<Configuration> onApplied;
@@ -74,7 +74,7 @@
     this.membership = membership;
     this.onApplied = onApplied;
     this.onConfirmed = onConfirmed;
-    this.recovery = new VoterRecovery(membership.self().id(), clock.nanoTime(), routerList);
+    this.recovery = new VoterRecovery(membership.self().id(), clock.nanoTime(), missingRouters);
   }
 
   /** Starts a confirmation round and schedules the next ones. */
@@ -114,17 +114,17 @@
    */
   public void confirmNow() {
     long nowNanos = clock.nanoTime();
-    if (round == null || nowNanos - round.startNanos() >= LEAST_ROUND_SPACING.toNanos()) {
+    if (round == null || nowNanos - round.startNanos() >= MINIMUM_ROUND_SPACING.toNanos()) {
       startRound(nowNanos);
     }
   }
 
   /** Handles a configuration document from the platform or from another router. */
-  public ConfigurationStore.Offer onDocument(String json) {
-    boolean fromMajority = majorityConflict.isPresent();
-    ConfigurationStore.Offer offer = fromMajority ? offerIfMajority(json) : store.offer(json);
-    if (offer == ConfigurationStore.Offer.APPLIED) {
-      applied();
+  public ConfigurationStore.OfferResult onDocument(String json) {
+    boolean hasConflict = majorityConflict.isPresent();
+    ConfigurationStore.OfferResult offer = hasConflict ? offerIfMajority(json) : store.offer(json);
+    if (offer == ConfigurationStore.OfferResult.APPLIED) {
+      handleApplied();
     }
     return offer;
   }
@@ -135,13 +135,14 @@
    */
   public void onMachineList(MachineList list) {
     if (groups != null) {
-      routerList.onList(list, groups.voters(), clock.nanoTime());
+      missingRouters.onList(list, groups.voters(), clock.nanoTime());
     }
   }
 
   /** Handles the configuration ids that pings and other messages from a router carry. */
-  public void onNews(MemberRecord sender, ConfigurationId inForce, ConfigurationId accepted) {
-    noteIncarnation(sender.id(), sender.incarnation());
+  public void onPeerConfigurationIds(
+      MemberRecord sender, ConfigurationId inForce, ConfigurationId accepted) {
+    recordIncarnation(sender.id(), sender.incarnation());
     if (accepted.equals(store.inForceId())) {
       store.onAccepted(accepted);
     }
@@ -164,7 +165,7 @@
 
   /** Replies to a confirmation request of another router. */
   public void onConfirmRequest(MemberRecord sender, PeerBody.ConfirmRequest request) {
-    noteIncarnation(sender.id(), sender.incarnation());
+    recordIncarnation(sender.id(), sender.incarnation());
     boolean outdated = knownIncarnations.get(sender.id()) > sender.incarnation();
     membership.send(
         sender.address(),
@@ -190,8 +191,8 @@
     if (reply.askerIncarnation() != membership.self().incarnation()) {
       return;
     }
-    noteIncarnation(sender.id(), sender.incarnation());
-    reply.incarnations().forEach(this::noteIncarnation);
+    recordIncarnation(sender.id(), sender.incarnation());
+    reply.incarnations().forEach(this::recordIncarnation);
     superseded |= reply.superseded();
     boolean outdatedSender = knownIncarnations.get(sender.id()) > sender.incarnation();
     long nowNanos = clock.nanoTime();
@@ -199,8 +200,8 @@
     if (!counts || outdatedSender) {
       return;
     }
-    round.add(sender.id(), new Statement(reply.voting(), reply.held()));
-    onNews(sender, reply.held(), reply.accepted());
+    round.add(sender.id(), new VoterReply(reply.voting(), reply.held()));
+    onPeerConfigurationIds(sender, reply.held(), reply.accepted());
     evaluate(nowNanos);
     findMajorityConflict(sender, reply.held());
   }
@@ -217,7 +218,7 @@
     round = new ConfirmationRound(nextRoundNumber++, nowNanos);
     String ownId = membership.self().id();
     if (groups.voters().contains(ownId) && !isSuperseded()) {
-      round.add(ownId, new Statement(recovery.isVoting(), store.inForceId()));
+      round.add(ownId, new VoterReply(recovery.isVoting(), store.inForceId()));
     }
     boolean recovering = groups.voters().contains(ownId) && !recovery.isVoting();
     PeerBody request = new PeerBody.ConfirmRequest(round.number(), recovering, store.inForceId());
@@ -241,7 +242,7 @@
     if (!recovery.isVoting()) {
       recovery.evaluate(round, ownGroup, inForce, nowNanos);
       if (recovery.isVoting()) {
-        round.add(membership.self().id(), new Statement(true, inForce));
+        round.add(membership.self().id(), new VoterReply(true, inForce));
       }
     }
     if (round.hasMajority(ownGroup, inForce::covers)) {
@@ -264,16 +265,16 @@
     }
   }
 
-  private ConfigurationStore.Offer offerIfMajority(String json) {
-    boolean wanted =
+  private ConfigurationStore.OfferResult offerIfMajority(String json) {
+    boolean isFromMajority =
         ConfigurationCodec.fromJson(json)
             .map(document -> Configuration.compile(document).id())
             .map(id -> id.equals(majorityConflict.get()))
             .getOrElse(false);
-    return wanted ? store.offerFromMajority(json) : store.offer(json);
+    return isFromMajority ? store.offerFromMajority(json) : store.offer(json);
   }
 
-  private void applied() {
+  private void handleApplied() {
     Configuration configuration = store.inForce().orElseThrow();
     majorityConflict = Optional.empty();
     groups = VotingGroups.of(configuration.document());
@@ -283,7 +284,7 @@
     startRound(clock.nanoTime());
   }
 
-  private void noteIncarnation(String id, long incarnation) {
+  private void recordIncarnation(String id, long incarnation) {
     knownIncarnations.merge(id, incarnation, Math::max);
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationStore.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationStore.java
@@ -26,7 +26,7 @@
   public record RefusedConfiguration(long version, ImmutableList<ConfigurationFault> faults) {}
 
   /** The result of offering a document. */
-  public enum Offer {
+  public enum OfferResult {
     /** The document is now in force. */
     APPLIED,
     /** The document was in force already, or is older than the one in force. */
@@ -56,16 +56,16 @@
   }
 
   /** Applies a document from the platform or another router if it is valid and newer. */
-  public Offer offer(String json) {
-    return take(json, false);
+  public OfferResult offer(String json) {
+    return applyIfNewer(json, false);
   }
 
   /**
    * Applies a document that a majority holds. Unlike {@link #offer}, also replaces a different
    * document with the same version.
    */
-  public Offer offerFromMajority(String json) {
-    return take(json, true);
+  public OfferResult offerFromMajority(String json) {
+    return applyIfNewer(json, true);
   }
 
   /** Records that a configuration is accepted. */
@@ -75,7 +75,7 @@
     }
   }
 
-  private Offer take(String json, boolean replacesSameVersion) {
+  private OfferResult applyIfNewer(String json, boolean replacesSameVersion) {
     Either<ImmutableList<ConfigurationFault>, ConfigurationDocument> read =
         ConfigurationCodec.fromJson(json);
     if (read.isLeft()) {
@@ -83,7 +83,7 @@
     }
     Configuration candidate = Configuration.compile(read.get());
     if (candidate.id().equals(inForceId()) || candidate.id().version() < inForceId().version()) {
-      return Offer.KNOWN;
+      return OfferResult.KNOWN;
     }
     if (candidate.id().conflictsWith(inForceId()) && !replacesSameVersion) {
       return refuse(
@@ -94,11 +94,11 @@
     }
     inForce = Optional.of(candidate);
     refused = Optional.empty();
-    return Offer.APPLIED;
+    return OfferResult.APPLIED;
   }
 
-  private Offer refuse(long version, ImmutableList<ConfigurationFault> faults) {
+  private OfferResult refuse(long version, ImmutableList<ConfigurationFault> faults) {
     refused = Optional.of(new RefusedConfiguration(version, faults));
-    return Offer.REFUSED;
+    return OfferResult.REFUSED;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfirmationRound.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfirmationRound.java
@@ -11,17 +11,17 @@
 /** The replies of voters to one round of confirmation requests. */
 final class ConfirmationRound {
   /**
-   * Later replies are not counted. Shorter than {@link VoterRecovery#LEAST_RECOVERY_TIME}, so that
-   * no voter that replied can have restarted and recovered within the same round.
+   * Later replies are not counted. Shorter than {@link VoterRecovery#MINIMUM_RECOVERY_TIME}, so
+   * that no voter that replied can have restarted and recovered within the same round.
    */
   static final Duration TIMEOUT = Duration.ofMillis(800);
 
   private final long number;
   private final long startNanos;
-  private final Map<String, Statement> statements = new HashMap<>();
+  private final Map<String, VoterReply> replies = new HashMap<>();
 
   /** What one voter replied: whether it votes and which configuration it has in force. */
-  record Statement(boolean voting, ConfigurationId held) {}
+  record VoterReply(boolean voting, ConfigurationId held) {}
 
   ConfirmationRound(long number, long startNanos) {
     this.number = number;
@@ -40,12 +40,12 @@
     return nowNanos - startNanos > TIMEOUT.toNanos();
   }
 
-  void add(String voter, Statement statement) {
-    statements.put(voter, statement);
+  void add(String voter, VoterReply reply) {
+    replies.put(voter, reply);
   }
 
-  Optional<Statement> statementOf(String voter) {
-    return Optional.ofNullable(statements.get(voter));
+  Optional<VoterReply> replyOf(String voter) {
+    return Optional.ofNullable(replies.get(voter));
   }
 
   /** Whether a majority of the group votes and has a configuration that meets the condition. */
@@ -57,8 +57,8 @@
   int countVoting(VotingGroup group, Predicate<ConfigurationId> condition) {
     int count = 0;
     for (String voter : group.voters()) {
-      Statement statement = statements.get(voter);
-      if (statement != null && statement.voting() && condition.test(statement.held())) {
+      VoterReply reply = replies.get(voter);
+      if (reply != null && reply.voting() && condition.test(reply.held())) {
         count++;
       }
     }
@@ -68,8 +68,8 @@
   /** The configurations of the members that replied, voting or not. */
   ImmutableList<ConfigurationId> held(VotingGroup group) {
     return group.voters().stream()
-        .flatMap(voter -> statementOf(voter).stream())
-        .map(Statement::held)
+        .flatMap(voter -> replyOf(voter).stream())
+        .map(VoterReply::held)
         .collect(ImmutableList.toImmutableList());
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/RouterList.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/MissingRouters.java
@@ -11,7 +11,7 @@
  * Tracks how long voters have been missing from the platform's list of machines. Without a list
  * that is at most {@link #FRESHNESS} old, no voter counts as missing, and the times start anew.
  */
-final class RouterList {
+final class MissingRouters {
   private static final Duration FRESHNESS = Duration.ofSeconds(5);
 
   private final Map<String, Long> missingSinceNanos = new HashMap<>();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VoterRecovery.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VoterRecovery.java
@@ -21,20 +21,20 @@
    * Longer than {@link ConfirmationRound#TIMEOUT}, so that a voter cannot reply, restart and
    * recover within one round.
    */
-  static final Duration LEAST_RECOVERY_TIME = Duration.ofSeconds(1);
+  static final Duration MINIMUM_RECOVERY_TIME = Duration.ofSeconds(1);
 
   /** How long a voter must be missing from the platform's list before it counts as gone. */
   static final Duration GONE_AFTER = Duration.ofSeconds(10);
 
   private final String nodeId;
   private final long startNanos;
-  private final RouterList routerList;
+  private final MissingRouters missingRouters;
   private boolean voting;
 
-  VoterRecovery(String nodeId, long startNanos, RouterList routerList) {
+  VoterRecovery(String nodeId, long startNanos, MissingRouters missingRouters) {
     this.nodeId = nodeId;
     this.startNanos = startNanos;
-    this.routerList = routerList;
+    this.missingRouters = missingRouters;
   }
 
   boolean isVoting() {
@@ -44,11 +44,11 @@
   /** Makes this node a voter when the replies of the round suffice. */
   void evaluate(
       ConfirmationRound round, VotingGroup group, ConfigurationId inForce, long nowNanos) {
-    boolean early = nowNanos - startNanos < LEAST_RECOVERY_TIME.toNanos();
+    boolean early = nowNanos - startNanos < MINIMUM_RECOVERY_TIME.toNanos();
     if (voting || early || !group.voters().contains(nodeId) || !coversAll(round, group, inForce)) {
       return;
     }
-    voting = hasOtherMajority(round, group) || everyOtherIsHeardOrGone(round, group, nowNanos);
+    voting = hasOtherMajority(round, group) || allOthersRepliedOrGone(round, group, nowNanos);
   }
 
   private static boolean coversAll(
@@ -61,11 +61,11 @@
     return round.hasMajority(group, held -> true);
   }
 
-  private boolean everyOtherIsHeardOrGone(
+  private boolean allOthersRepliedOrGone(
       ConfirmationRound round, VotingGroup group, long nowNanos) {
     for (String other : Sets.difference(group.voters(), Sets.newHashSet(nodeId))) {
-      boolean heard = round.statementOf(other).isPresent();
-      if (!heard && !routerList.isMissingFor(other, GONE_AFTER, nowNanos)) {
+      boolean replied = round.replyOf(other).isPresent();
+      if (!replied && !missingRouters.isMissingFor(other, GONE_AFTER, nowNanos)) {
         return false;
       }
     }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VotingGroups.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VotingGroups.java
@@ -20,7 +20,7 @@
  * majority.
  */
 public final class VotingGroups {
-  private static final int SMALLEST_GROUP = 3;
+  private static final int MINIMUM_GROUP_SIZE = 3;
   private static final String FLEET = "fleet";
 
   private final ImmutableMap<String, VotingGroup> groupByZone;
@@ -44,7 +44,7 @@
       groupNameByZone.put(zone.name(), group);
       voters.putAll(group, zone.voters());
     }
-    if (voters.get(FLEET).size() < SMALLEST_GROUP) {
+    if (voters.get(FLEET).size() < MINIMUM_GROUP_SIZE) {
       document.zones().forEach(zone -> voters.putAll(FLEET, zone.voters()));
     }
     ImmutableMap.Builder<String, VotingGroup> groups = ImmutableMap.builder();
@@ -78,11 +78,12 @@
     if (isOwnGroup(zone)) {
       return "zone " + zone.name();
     }
-    boolean regionSuffices = smallVotersByRegion.getOrDefault(zone.region(), 0) >= SMALLEST_GROUP;
+    boolean regionSuffices =
+        smallVotersByRegion.getOrDefault(zone.region(), 0) >= MINIMUM_GROUP_SIZE;
     return regionSuffices ? "region " + zone.region() : FLEET;
   }
 
   private static boolean isOwnGroup(ZoneSpec zone) {
-    return zone.voters().size() >= SMALLEST_GROUP;
+    return zone.voters().size() >= MINIMUM_GROUP_SIZE;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/QueryService.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/QueryService.java
@@ -33,7 +33,7 @@
    * How long a query may wait for the lease, which is missing for example after a start or a
    * suspension of the process.
    */
-  private static final Duration LONGEST_CONFIRMATION_WAIT = Duration.ofMillis(400);
+  private static final Duration MAXIMUM_CONFIRMATION_WAIT = Duration.ofMillis(400);
 
   private static final char SEPARATOR = '\n';
 
@@ -84,24 +84,24 @@
 
   void submit(QueryRequest request, Consumer<Either<QueryError, QueryAnswer>> sink) {
     pending++;
-    Consumer<Either<QueryError, QueryAnswer>> counted =
+    Consumer<Either<QueryError, QueryAnswer>> countingSink =
         outcome -> {
           pending--;
           sink.accept(outcome);
         };
     if (draining) {
-      counted.accept(
+      countingSink.accept(
           refusal(ErrorKind.DRAINING, "this router is stopping; send the query to another one"));
       return;
     }
     long arrivalNanos = clock.nanoTime();
     if (agreement.isConfirmed(arrivalNanos)) {
-      dispatch(request, arrivalNanos, counted);
+      dispatch(request, arrivalNanos, countingSink);
     } else if (agreement.isSuperseded()) {
-      counted.accept(
+      countingSink.accept(
           refusal(ErrorKind.NOT_CONFIRMED, "a later incarnation of this router is running"));
     } else {
-      awaitLease(request, arrivalNanos, counted);
+      awaitLease(request, arrivalNanos, countingSink);
       agreement.confirmNow();
     }
   }
@@ -174,7 +174,7 @@
       QueryRequest request, long arrivalNanos, Consumer<Either<QueryError, QueryAnswer>> sink) {
     long wait = confirmationWait(request).toNanos();
     Runnable[] onLease = new Runnable[1];
-    TimerQueue.Timer giveUp =
+    TimerQueue.Timer timeout =
         timers.schedule(
             arrivalNanos + wait,
             () -> {
@@ -187,7 +187,7 @@
             });
     onLease[0] =
         () -> {
-          giveUp.cancel();
+          timeout.cancel();
           dispatch(request, arrivalNanos, sink);
         };
     awaitingLease.add(onLease[0]);
@@ -195,7 +195,7 @@
 
   /**
    * Half of the deadline, so that time is left to run the query, but at most {@link
-   * #LONGEST_CONFIRMATION_WAIT}, which also applies when no deadline is known.
+   * #MAXIMUM_CONFIRMATION_WAIT}, which also applies when no deadline is known.
    */
   private Duration confirmationWait(QueryRequest request) {
     Optional<Duration> kindDeadline =
@@ -206,7 +206,7 @@
     return Stream.of(request.deadline(), kindDeadline)
         .flatMap(Optional::stream)
         .map(deadline -> deadline.dividedBy(2))
-        .reduce(LONGEST_CONFIRMATION_WAIT, Ordering.natural()::min);
+        .reduce(MAXIMUM_CONFIRMATION_WAIT, Ordering.natural()::min);
   }
 
   private Either<QueryError, QueryAnswer> refusal(ErrorKind kind, String detail) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterCore.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterCore.java
@@ -44,7 +44,7 @@
   private static final Duration PLATFORM_POLL_INTERVAL = Duration.ofSeconds(1);
 
   /** Number of routers in a zone above which each polls at a longer interval. */
-  private static final int ROUTERS_POLLING_FULLY = 3;
+  private static final int ROUTERS_AT_FULL_POLL_RATE = 3;
 
   /** Routers with the JSON interface do not report their processor cores. */
   private static final double UNKNOWN_CORES = 0;
@@ -144,7 +144,7 @@
   }
 
   /** Handles a configuration document from the platform. */
-  public ConfigurationStore.Offer onPlatformConfiguration(String json) {
+  public ConfigurationStore.OfferResult onPlatformConfiguration(String json) {
     return agreement.onDocument(json);
   }
 
@@ -178,7 +178,7 @@
     } else if (body instanceof PeerBody.ConfirmReply reply) {
       agreement.onConfirmReply(sender, reply);
     } else if (body instanceof PeerBody.VersionNotice notice) {
-      agreement.onNews(sender, notice.inForce(), ConfigurationId.NONE);
+      agreement.onPeerConfigurationIds(sender, notice.inForce(), ConfigurationId.NONE);
     } else if (body instanceof PeerBody.ConfigurationRequest) {
       agreement.onConfigurationRequest(sender);
     } else if (body instanceof PeerBody.ConfigurationOffer offer) {
@@ -220,7 +220,7 @@
   }
 
   /** Whether another router is in state {@link MemberRecord.State#DEAD} here. */
-  public boolean knowsDead(String routerId) {
+  public boolean considersDead(String routerId) {
     return membership
         .find(routerId)
         .filter(member -> member.state() == MemberRecord.State.DEAD)
@@ -269,7 +269,7 @@
   }
 
   private void onNews(MemberRecord sender, PeerBody.News news) {
-    agreement.onNews(sender, news.inForce(), news.accepted());
+    agreement.onPeerConfigurationIds(sender, news.inForce(), news.accepted());
     for (DrainMark mark : news.drains()) {
       if (replicas.onDrainMark(mark.backend(), mark.incarnation())) {
         membership.tellDrain(mark);
@@ -292,8 +292,8 @@
   }
 
   /**
-   * Polls the platform and schedules the next poll. Above {@link #ROUTERS_POLLING_FULLY} routers
-   * the interval grows with their number, so that the load from a zone does not.
+   * Polls the platform and schedules the next poll. Above {@link #ROUTERS_AT_FULL_POLL_RATE}
+   * routers the interval grows with their number, so that the load from a zone does not.
    */
   private void pollPlatform() {
     transports.platform().fetchConfiguration();
@@ -303,7 +303,7 @@
             + membership.reachable().stream()
                 .filter(member -> member.zone().equals(options.identity().zone()))
                 .count();
-    double scale = Math.max(1.0, (double) sameZone / ROUTERS_POLLING_FULLY);
+    double scale = Math.max(1.0, (double) sameZone / ROUTERS_AT_FULL_POLL_RATE);
     long interval = (long) (PLATFORM_POLL_INTERVAL.toNanos() * scale);
     long delay = interval / 2 + random.nextLong(interval);
     timers.schedule(clock.nanoTime() + delay, this::pollPlatform);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/StatusReporter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/StatusReporter.java
@@ -90,8 +90,8 @@
     selections.forEach(
         (kind, selection) -> {
           String id = replica.backend().id();
-          if (selection.reasonsAgainst().containsKey(id)) {
-            reasons.put(kind, selection.reasonsAgainst().get(id));
+          if (selection.exclusionReasons().containsKey(id)) {
+            reasons.put(kind, selection.exclusionReasons().get(id));
           } else if (selection.byShard().containsValue(replica.backend())) {
             reasons.put(kind, ELIGIBLE);
           }
@@ -101,7 +101,7 @@
         replica.backend().id(),
         replica.backend().address(),
         replica.backend().zone(),
-        reasonAgainst(replica).map(IneligibleReason::description),
+        ineligibleReason(replica).map(IneligibleReason::description),
         report.map(BackendReport::incarnation),
         replica.inFlight(),
         replica.limit(),
@@ -110,7 +110,7 @@
         reasons.buildOrThrow());
   }
 
-  private Optional<IneligibleReason> reasonAgainst(ReplicaState replica) {
+  private Optional<IneligibleReason> ineligibleReason(ReplicaState replica) {
     long nowNanos = clock.nanoTime();
     Optional<IneligibleReason> reason = replica.ineligibleReason(nowNanos);
     if (reason.isEmpty() && replica.isEjected(nowNanos)) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/topology/Selection.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/topology/Selection.java
@@ -10,18 +10,18 @@
  * The back ends that the rules of a kind select for the routers of one zone at one time.
  *
  * @param byShard selected back ends by shard name
- * @param reasonsAgainst by id of each excluded back end, the reasons of all rules, joined by
+ * @param exclusionReasons by id of each excluded back end, the reasons of all rules, joined by
  *     semicolons
  */
 public record Selection(
-    ImmutableListMultimap<String, Backend> byShard, ImmutableMap<String, String> reasonsAgainst) {
+    ImmutableListMultimap<String, Backend> byShard, ImmutableMap<String, String> exclusionReasons) {
   static Selection of(
       QueryKind kind, ImmutableList<Backend> holders, String routerZone, Instant wallTime) {
     ImmutableListMultimap.Builder<String, Backend> byShard = ImmutableListMultimap.builder();
     ImmutableMap.Builder<String, String> reasons = ImmutableMap.builder();
     String layout = kind.layout().name();
     for (Backend backend : holders) {
-      Optional<String> reason = reasonAgainst(kind, backend, routerZone, wallTime);
+      Optional<String> reason = exclusionReason(kind, backend, routerZone, wallTime);
       if (reason.isPresent()) {
         reasons.put(backend.id(), reason.get());
       } else {
@@ -31,11 +31,11 @@
     return new Selection(byShard.build(), reasons.buildOrThrow());
   }
 
-  private static Optional<String> reasonAgainst(
+  private static Optional<String> exclusionReason(
       QueryKind kind, Backend backend, String routerZone, Instant wallTime) {
     StringBuilder reasons = new StringBuilder();
     for (SelectionRule rule : kind.rules()) {
-      Optional<String> reason = rule.reasonAgainst(backend, routerZone, wallTime);
+      Optional<String> reason = rule.exclusionReason(backend, routerZone, wallTime);
       if (reason.isEmpty()) {
         return Optional.empty();
       }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/topology/SelectionRule.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/topology/SelectionRule.java
@@ -24,7 +24,7 @@
   }
 
   /** Why the rule does not select the back end; empty when it does. */
-  Optional<String> reasonAgainst(Backend backend, String routerZone, Instant wallTime) {
+  Optional<String> exclusionReason(Backend backend, String routerZone, Instant wallTime) {
     if (!routerZones.isEmpty() && !routerZones.contains(routerZone)) {
       return Optional.of("rule does not apply to routers in zone " + routerZone);
     }
--- a/arrowarch-emulator/src/main/java/io/arrowarch/emulator/experiment/ScaleExperiment.java
+++ b/arrowarch-emulator/src/main/java/io/arrowarch/emulator/experiment/ScaleExperiment.java
@@ -121,7 +121,7 @@
       long knowing =
           cluster.routerIds().stream()
               .flatMap(router -> cluster.core(router).stream())
-              .filter(core -> core.knowsDead(victim))
+              .filter(core -> core.considersDead(victim))
               .count();
       if (knowing >= 0.9 * (cluster.routerIds().size() - 1)) {
         break;
--- a/arrowarch-node/src/main/java/io/arrowarch/node/PlatformClient.java
+++ b/arrowarch-node/src/main/java/io/arrowarch/node/PlatformClient.java
@@ -60,11 +60,11 @@
   }
 
   private void takeConfiguration(String json) {
-    ConfigurationStore.Offer offer = driver.core().onPlatformConfiguration(json);
+    ConfigurationStore.OfferResult offer = driver.core().onPlatformConfiguration(json);
     ConfigurationStore store = driver.core().configurationStore();
-    if (offer == ConfigurationStore.Offer.APPLIED) {
+    if (offer == ConfigurationStore.OfferResult.APPLIED) {
       logger.atInfo().log("Config: version %d is in force.", store.inForceId().version());
-    } else if (offer == ConfigurationStore.Offer.REFUSED) {
+    } else if (offer == ConfigurationStore.OfferResult.REFUSED) {
       store
           .refused()
           .ifPresent(
