--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
@@ -183,9 +183,9 @@
   }
 
   /**
-   * Handles a voter's reply. It is ignored when it was meant for an earlier incarnation of this
-   * node, belongs to an earlier round or is late, or when a later incarnation of the sender is
-   * known.
+   * Handles a voter's reply. One that is meant for an earlier incarnation of this node is ignored.
+   * One that is late, belongs to another round or comes from an outdated incarnation of the voter
+   * does not count in the round; only the incarnations that it reports are recorded.
    */
   public void onConfirmReply(MemberRecord sender, PeerBody.ConfirmReply reply) {
     if (reply.askerIncarnation() != membership.self().incarnation()) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/topology/Layout.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/topology/Layout.java
@@ -36,7 +36,10 @@
     return name + "/" + generation;
   }
 
-  /** The shard of a key: each owns a part of the 32-bit Murmur3 hash range equal to its share. */
+  /**
+   * The shard of a key. Each shard owns a consecutive part of the range of 32-bit Murmur3 hashes,
+   * as large as its share.
+   */
   public Shard shardOfKey(String key) {
     int hash = Hashing.murmur3_32_fixed().hashString(key, StandardCharsets.UTF_8).asInt();
     double point = Integer.toUnsignedLong(hash) / HASH_RANGE;
