--- a/arrowarch-core/src/test/java/io/arrowarch/core/CorePurityTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/CorePurityTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  public void readsNoClockAndMakesNoRandomnessOfItsOwn() {
+  public void readsNoSystemClockAndCreatesNoRandomGenerator() {
     noClasses()
         .should()
         .callMethod(System.class, "nanoTime")
--- a/arrowarch-core/src/test/java/io/arrowarch/core/config/ConfigurationCodecTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/config/ConfigurationCodecTest.java
@@ -44,15 +44,15 @@
   }
 
   @Test(dataProvider = "faults")
-  public void namesThePathOfAFault(String good, String bad, String path) {
-    String document = VALID.replaceFirst(Pattern.quote(good), bad);
+  public void namesThePathOfAFault(String valid, String faulty, String path) {
+    String document = VALID.replaceFirst(Pattern.quote(valid), faulty);
     assertThat(document).isNotEqualTo(VALID);
     ImmutableList<ConfigurationFault> faults = ConfigurationCodec.fromJson(document).getLeft();
     assertThat(faults).extracting(ConfigurationFault::path).contains(path);
   }
 
   @Test
-  public void refusesTruncatedAndRepeatedText() {
+  public void rejectsTruncatedAndRepeatedText() {
     assertThat(ConfigurationCodec.fromJson(VALID.substring(0, 200)).isLeft()).isTrue();
     assertThat(ConfigurationCodec.fromJson(VALID + VALID).isLeft()).isTrue();
     assertThat(ConfigurationCodec.fromJson("").isLeft()).isTrue();
--- a/arrowarch-core/src/test/java/io/arrowarch/core/quorum/VotingGroupsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/quorum/VotingGroupsTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  public void smallZonesOfARegionAreJoined() {
+  public void smallZonesOfARegionShareAGroup() {
     VotingGroups groups =
         VotingGroups.of(
             TestDocuments.withZones(
@@ -31,7 +31,7 @@
   }
 
   @Test
-  public void singleSmallZoneIsConfirmedByTheWholeFleet() {
+  public void singleSmallZoneUsesTheVotersOfAllZones() {
     VotingGroups groups =
         VotingGroups.of(TestDocuments.withZones(LARGE, new ZoneSpec("tiny", "r2", List.of("b1"))));
     assertThat(groups.groupOfZone("tiny").voters()).containsExactly("b1", "a1", "a2", "a3");
