--- a/arrowarch-core/src/test/java/io/arrowarch/core/CorePurityTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/CorePurityTest.java
@@ -10,7 +10,11 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** The core decides and does nothing else. */
+/**
+ * The core must do no input or output, start no threads, and get time and randomness from its
+ * caller only; otherwise simulations with a fake clock and a seed could not be repeated. Its
+ * packages must not depend on each other in cycles.
+ */
 public class CorePurityTest {
   private static final JavaClasses CORE =
       new ClassFileImporter()
--- a/arrowarch-core/src/test/java/io/arrowarch/core/EmptyConfiguration.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/EmptyConfiguration.java
@@ -11,7 +11,7 @@
 public final class EmptyConfiguration {
   private EmptyConfiguration() {}
 
-  /** As the store would hold it. */
+  /** The configuration of this version, as an entry of the store. */
   public static FeedEntry ofVersion(long version) {
     return new FeedEntry.Configuration(
         new RoutingConfiguration(
--- a/arrowarch-core/src/test/java/io/arrowarch/core/TestDocuments.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/TestDocuments.java
@@ -14,9 +14,12 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Two shards of shares 0.75 and 0.25, two replicas each: a0, b0, a1, b1. */
+/**
+ * Configuration documents for tests. They have one layout with shards {@code s0} (share 0.75) and
+ * {@code s1} (0.25). Back ends a0 and b0 are the replicas of s0, a1 and b1 those of s1.
+ */
 public final class TestDocuments {
-  /** Layout id of the only layout. */
+  /** The id of the layout. */
   public static final String LAYOUT = "main/1";
 
   private TestDocuments() {}
@@ -26,7 +29,7 @@
     return withZones(new ZoneSpec("z1", "r1", List.of("n1", "n2", "n3")));
   }
 
-  /** A valid document with other zones; the first one holds all back ends. */
+  /** A valid document with other zones; all back ends are in the first one. */
   public static ConfigurationDocument withZones(ZoneSpec... zones) {
     String zone = zones[0].name();
     return new ConfigurationDocument(
--- a/arrowarch-core/src/test/java/io/arrowarch/core/config/ConfigurationCodecTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/config/ConfigurationCodecTest.java
@@ -9,6 +9,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/**
+ * A faulty configuration document must be rejected with the path of each fault. Each case of {@link
+ * #faults} breaks one element of a valid document; truncated and repeated text stands for documents
+ * damaged on their way.
+ */
 public class ConfigurationCodecTest {
   private static final String VALID = ConfigurationCodec.toJson(TestDocuments.valid());
 
--- a/arrowarch-core/src/test/java/io/arrowarch/core/quorum/VotingGroupsTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/quorum/VotingGroupsTest.java
@@ -7,6 +7,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
+/**
+ * Zones with fewer than three voters must share a voting group: on its own, a group of one or two
+ * voters would lose its majority with the first router that fails.
+ */
 public class VotingGroupsTest {
   private static final ZoneSpec LARGE = new ZoneSpec("large", "r1", List.of("a1", "a2", "a3"));
 
