--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
@@ -7,7 +7,7 @@
 import io.arrowarch.core.peer.MemberRecord;
 import io.arrowarch.core.peer.PeerBody;
 import io.arrowarch.core.query.ServingPermit;
-import io.arrowarch.core.quorum.ConfirmationRound.Statement;
+import io.arrowarch.core.quorum.ConfirmationRound.VoterReply;
 import io.arrowarch.core.time.RouterClock;
 import io.arrowarch.core.time.TimerQueue;
 import io.arrowarch.core.topology.Configuration;
@@ -20,21 +20,22 @@
 import java.util.function.Consumer;
 
 /**
- * Spreads configurations, decides when one is accepted, and holds the lease by which this node may
- * serve.
+ * Distributes configurations among routers, decides when one is accepted, and holds the lease that
+ * permits this node to serve queries.
  *
- * <p>A configuration is accepted when, within one round, a majority of every voting group says that
- * it holds that one or a later one. A node serves only while its lease is valid: a majority of the
- * group of its zone said, in a round begun at most {@link #LEASE} ago, that it holds nothing newer.
- * The two majorities share a voter, so that once a configuration is accepted every node that serves
- * has it in force within {@link #LEASE}.
+ * <p>A configuration is accepted when, within one round, a majority of every voting group reports
+ * that it holds this configuration or a later one. A node serves only while its lease is valid. The
+ * lease is extended when a majority of the voting group of its zone reports, within one round, that
+ * it holds nothing newer; it ends {@link #LEASE} after that round started. The two majorities have
+ * a voter in common. Therefore, {@link #LEASE} after a configuration was accepted, each node that
+ * still serves has it in force.
  */
 public final class ConfigurationAgreement implements ServingPermit {
-  /** How long a confirmed round lets a node serve, from the start of the round. */
+  /** How long a node may serve after the start of a round that a majority confirmed. */
   public static final Duration LEASE = Duration.ofSeconds(3);
 
   private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
-  private static final Duration LEAST_ROUND_SPACING = Duration.ofMillis(50);
+  private static final Duration MINIMUM_ROUND_SPACING = Duration.ofMillis(50);
   private static final int PUSH_FAN_OUT = 4;
 
   private final String zone;
@@ -42,7 +43,7 @@
   private final TimerQueue timers;
   private final Membership membership;
   private final ConfigurationStore store = new ConfigurationStore();
-  private final RouterList routerList = new RouterList();
+  private final MissingRouters missingRouters = new MissingRouters();
   private final VoterRecovery recovery;
   private final Map<String, Long> knownIncarnations = new HashMap<>();
   private final Consumer<Configuration> onApplied;
@@ -55,9 +56,9 @@
   private Optional<ConfigurationId> majorityConflict = Optional.empty();
 
   /**
-   * Creates the agreement of one node, which holds nothing.
+   * Creates the agreement of one node, without a configuration.
    *
-   * @param onApplied told each configuration that comes into force
+   * @param onApplied called with each configuration that comes into force
    * @param onConfirmed called whenever the lease is extended
    */
   public ConfigurationAgreement(
@@ -73,30 +74,30 @@
     this.membership = membership;
     this.onApplied = onApplied;
     this.onConfirmed = onConfirmed;
-    this.recovery = new VoterRecovery(membership.self().id(), clock.nanoTime(), routerList);
+    this.recovery = new VoterRecovery(membership.self().id(), clock.nanoTime(), missingRouters);
   }
 
-  /** Starts the rounds. */
+  /** Starts a confirmation round and schedules the next ones. */
   public void start() {
     runRounds();
   }
 
-  /** The configuration that this node holds. */
+  /** The configurations that this node has in force, knows as accepted, and refused last. */
   public ConfigurationStore store() {
     return store;
   }
 
-  /** Whether this node's statements count. */
+  /** Whether this node votes; a restarted node does so only after {@link VoterRecovery}. */
   public boolean isVoting() {
     return recovery.isVoting();
   }
 
-  /** Whether a voter of the group said that a later incarnation of this node exists. */
+  /** Whether another router reported a later incarnation of this node. */
   public boolean isSuperseded() {
     return superseded || membership.isSuperseded();
   }
 
-  /** Time left on the lease; zero when there is none. */
+  /** Remaining time of the lease; zero without a lease. */
   public Duration leaseLeft() {
     long left = leaseEndNanos == Long.MIN_VALUE ? 0 : leaseEndNanos - clock.nanoTime();
     return Duration.ofNanos(Math.max(0, left));
@@ -107,34 +108,41 @@
     return leaseEndNanos != Long.MIN_VALUE && nowNanos < leaseEndNanos && !isSuperseded();
   }
 
-  /** Starts a round at once, for a node that has woken and has callers waiting. */
+  /**
+   * Starts a round at once, unless the last one has only just started. Called when queries wait for
+   * the lease, for example after this process was suspended.
+   */
   public void confirmNow() {
     long nowNanos = clock.nanoTime();
-    if (round == null || nowNanos - round.startNanos() >= LEAST_ROUND_SPACING.toNanos()) {
+    if (round == null || nowNanos - round.startNanos() >= MINIMUM_ROUND_SPACING.toNanos()) {
       startRound(nowNanos);
     }
   }
 
-  /** Takes a document from the platform or from a peer. */
-  public ConfigurationStore.Offer onDocument(String json) {
-    boolean fromMajority = majorityConflict.isPresent();
-    ConfigurationStore.Offer offer = fromMajority ? offerIfMajority(json) : store.offer(json);
-    if (offer == ConfigurationStore.Offer.APPLIED) {
-      applied();
+  /** Handles a configuration document from the platform or from another router. */
+  public ConfigurationStore.OfferResult onDocument(String json) {
+    boolean hasConflict = majorityConflict.isPresent();
+    ConfigurationStore.OfferResult offer = hasConflict ? offerIfMajority(json) : store.offer(json);
+    if (offer == ConfigurationStore.OfferResult.APPLIED) {
+      handleApplied();
     }
     return offer;
   }
 
-  /** Takes the platform's list, which helps a voter to recover after many were lost. */
+  /**
+   * Handles the platform's list of machines. A voter that recovers needs it when too many other
+   * voters are lost to form a majority.
+   */
   public void onMachineList(MachineList list) {
     if (groups != null) {
-      routerList.onList(list, groups.voters(), clock.nanoTime());
+      missingRouters.onList(list, groups.voters(), clock.nanoTime());
     }
   }
 
-  /** Takes the configuration ids that ride on pings. */
-  public void onNews(MemberRecord sender, ConfigurationId inForce, ConfigurationId accepted) {
-    noteIncarnation(sender.id(), sender.incarnation());
+  /** Handles the configuration ids that pings and other messages from a router carry. */
+  public void onPeerConfigurationIds(
+      MemberRecord sender, ConfigurationId inForce, ConfigurationId accepted) {
+    recordIncarnation(sender.id(), sender.incarnation());
     if (accepted.equals(store.inForceId())) {
       store.onAccepted(accepted);
     }
@@ -143,7 +151,7 @@
     }
   }
 
-  /** Answers a request for the document. */
+  /** Sends the document in force to the router that requested it. */
   public void onConfigurationRequest(MemberRecord sender) {
     store
         .inForce()
@@ -155,9 +163,9 @@
                         ConfigurationCodec.toJson(configuration.document()))));
   }
 
-  /** Answers a round of another node. */
+  /** Replies to a confirmation request of another router. */
   public void onConfirmRequest(MemberRecord sender, PeerBody.ConfirmRequest request) {
-    noteIncarnation(sender.id(), sender.incarnation());
+    recordIncarnation(sender.id(), sender.incarnation());
     boolean outdated = knownIncarnations.get(sender.id()) > sender.incarnation();
     membership.send(
         sender.address(),
@@ -174,13 +182,17 @@
     }
   }
 
-  /** Takes a voter's statement. */
+  /**
+   * Handles a voter's reply. One that is meant for an earlier incarnation of this node is ignored.
+   * One that is late, belongs to another round or comes from an outdated incarnation of the voter
+   * does not count in the round; only the incarnations that it reports are recorded.
+   */
   public void onConfirmReply(MemberRecord sender, PeerBody.ConfirmReply reply) {
     if (reply.askerIncarnation() != membership.self().incarnation()) {
       return;
     }
-    noteIncarnation(sender.id(), sender.incarnation());
-    reply.incarnations().forEach(this::noteIncarnation);
+    recordIncarnation(sender.id(), sender.incarnation());
+    reply.incarnations().forEach(this::recordIncarnation);
     superseded |= reply.superseded();
     boolean outdatedSender = knownIncarnations.get(sender.id()) > sender.incarnation();
     long nowNanos = clock.nanoTime();
@@ -188,8 +200,8 @@
     if (!counts || outdatedSender) {
       return;
     }
-    round.add(sender.id(), new Statement(reply.voting(), reply.held()));
-    onNews(sender, reply.held(), reply.accepted());
+    round.add(sender.id(), new VoterReply(reply.voting(), reply.held()));
+    onPeerConfigurationIds(sender, reply.held(), reply.accepted());
     evaluate(nowNanos);
     findMajorityConflict(sender, reply.held());
   }
@@ -206,7 +218,7 @@
     round = new ConfirmationRound(nextRoundNumber++, nowNanos);
     String ownId = membership.self().id();
     if (groups.voters().contains(ownId) && !isSuperseded()) {
-      round.add(ownId, new Statement(recovery.isVoting(), store.inForceId()));
+      round.add(ownId, new VoterReply(recovery.isVoting(), store.inForceId()));
     }
     boolean recovering = groups.voters().contains(ownId) && !recovery.isVoting();
     PeerBody request = new PeerBody.ConfirmRequest(round.number(), recovering, store.inForceId());
@@ -218,7 +230,7 @@
     evaluate(nowNanos);
   }
 
-  /** The own group always; the other groups only while the configuration awaits acceptance. */
+  /** The voters of the own group, and those of all groups until the configuration is accepted. */
   private Iterable<String> votersToAsk() {
     boolean accepted = store.accepted().equals(store.inForceId());
     return accepted ? groups.groupOfZone(zone).voters() : groups.voters();
@@ -230,7 +242,7 @@
     if (!recovery.isVoting()) {
       recovery.evaluate(round, ownGroup, inForce, nowNanos);
       if (recovery.isVoting()) {
-        round.add(membership.self().id(), new Statement(true, inForce));
+        round.add(membership.self().id(), new VoterReply(true, inForce));
       }
     }
     if (round.hasMajority(ownGroup, inForce::covers)) {
@@ -253,16 +265,16 @@
     }
   }
 
-  private ConfigurationStore.Offer offerIfMajority(String json) {
-    boolean wanted =
+  private ConfigurationStore.OfferResult offerIfMajority(String json) {
+    boolean isFromMajority =
         ConfigurationCodec.fromJson(json)
             .map(document -> Configuration.compile(document).id())
             .map(id -> id.equals(majorityConflict.get()))
             .getOrElse(false);
-    return wanted ? store.offerFromMajority(json) : store.offer(json);
+    return isFromMajority ? store.offerFromMajority(json) : store.offer(json);
   }
 
-  private void applied() {
+  private void handleApplied() {
     Configuration configuration = store.inForce().orElseThrow();
     majorityConflict = Optional.empty();
     groups = VotingGroups.of(configuration.document());
@@ -272,7 +284,7 @@
     startRound(clock.nanoTime());
   }
 
-  private void noteIncarnation(String id, long incarnation) {
+  private void recordIncarnation(String id, long incarnation) {
     knownIncarnations.merge(id, incarnation, Math::max);
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfirmationRound.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfirmationRound.java
@@ -8,20 +8,20 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 
-/** The statements that voters made in answer to one round of requests. */
+/** The replies of voters to one round of confirmation requests. */
 final class ConfirmationRound {
   /**
-   * Statements that come later are not counted. Shorter than the least recovery time, so that no
-   * voter that made a statement can have been replaced and recovered within its round.
+   * Later replies are not counted. Shorter than {@link VoterRecovery#MINIMUM_RECOVERY_TIME}, so
+   * that no voter that replied can have restarted and recovered within the same round.
    */
   static final Duration TIMEOUT = Duration.ofMillis(800);
 
   private final long number;
   private final long startNanos;
-  private final Map<String, Statement> statements = new HashMap<>();
+  private final Map<String, VoterReply> replies = new HashMap<>();
 
-  /** What one voter said. */
-  record Statement(boolean voting, ConfigurationId held) {}
+  /** What one voter replied: whether it votes and which configuration it has in force. */
+  record VoterReply(boolean voting, ConfigurationId held) {}
 
   ConfirmationRound(long number, long startNanos) {
     this.number = number;
@@ -40,36 +40,36 @@
     return nowNanos - startNanos > TIMEOUT.toNanos();
   }
 
-  void add(String voter, Statement statement) {
-    statements.put(voter, statement);
+  void add(String voter, VoterReply reply) {
+    replies.put(voter, reply);
   }
 
-  Optional<Statement> statementOf(String voter) {
-    return Optional.ofNullable(statements.get(voter));
+  Optional<VoterReply> replyOf(String voter) {
+    return Optional.ofNullable(replies.get(voter));
   }
 
-  /** Whether a majority of the group votes and meets the condition. */
+  /** Whether a majority of the group votes and has a configuration that meets the condition. */
   boolean hasMajority(VotingGroup group, Predicate<ConfigurationId> condition) {
     return countVoting(group, condition) >= group.majority();
   }
 
-  /** Voting members of the group whose configuration meets the condition. */
+  /** The number of voting members of the group whose configuration meets the condition. */
   int countVoting(VotingGroup group, Predicate<ConfigurationId> condition) {
     int count = 0;
     for (String voter : group.voters()) {
-      Statement statement = statements.get(voter);
-      if (statement != null && statement.voting() && condition.test(statement.held())) {
+      VoterReply reply = replies.get(voter);
+      if (reply != null && reply.voting() && condition.test(reply.held())) {
         count++;
       }
     }
     return count;
   }
 
-  /** The configurations that members of the group hold, voting or not. */
+  /** The configurations of the members that replied, voting or not. */
   ImmutableList<ConfigurationId> held(VotingGroup group) {
     return group.voters().stream()
-        .flatMap(voter -> statementOf(voter).stream())
-        .map(Statement::held)
+        .flatMap(voter -> replyOf(voter).stream())
+        .map(VoterReply::held)
         .collect(ImmutableList.toImmutableList());
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/QueryService.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/QueryService.java
@@ -25,12 +25,15 @@
 import java.util.stream.Stream;
 
 /**
- * What stands between a caller and the coordinator: planned stop, the right to serve, and tickets
- * of non-repeatable requests.
+ * Receives queries and passes them to the coordinator. Refuses them during a planned stop, holds
+ * them until this node has a lease, and runs each non-repeatable request once per ticket.
  */
 final class QueryService {
-  /** How long a query may wait for the lease of a node that has just started or woken. */
-  private static final Duration LONGEST_CONFIRMATION_WAIT = Duration.ofMillis(400);
+  /**
+   * How long a query may wait for the lease, which is missing for example after a start or a
+   * suspension of the process.
+   */
+  private static final Duration MAXIMUM_CONFIRMATION_WAIT = Duration.ofMillis(400);
 
   private static final char SEPARATOR = '\n';
 
@@ -69,7 +72,7 @@
     draining = true;
   }
 
-  /** Whether a planned stop has begun; queries are taken until {@link #drain}. */
+  /** Whether a planned stop has begun. Queries are still accepted until {@link #drain}. */
   boolean isLeaving() {
     return leaving;
   }
@@ -81,27 +84,29 @@
 
   void submit(QueryRequest request, Consumer<Either<QueryError, QueryAnswer>> sink) {
     pending++;
-    Consumer<Either<QueryError, QueryAnswer>> counted =
+    Consumer<Either<QueryError, QueryAnswer>> countingSink =
         outcome -> {
           pending--;
           sink.accept(outcome);
         };
     if (draining) {
-      counted.accept(refusal(ErrorKind.DRAINING, "this node is stopping; ask another"));
+      countingSink.accept(
+          refusal(ErrorKind.DRAINING, "this router is stopping; send the query to another one"));
       return;
     }
     long arrivalNanos = clock.nanoTime();
     if (agreement.isConfirmed(arrivalNanos)) {
-      dispatch(request, arrivalNanos, counted);
+      dispatch(request, arrivalNanos, countingSink);
     } else if (agreement.isSuperseded()) {
-      counted.accept(refusal(ErrorKind.NOT_CONFIRMED, "a later incarnation of this node runs"));
+      countingSink.accept(
+          refusal(ErrorKind.NOT_CONFIRMED, "a later incarnation of this router is running"));
     } else {
-      awaitLease(request, arrivalNanos, counted);
+      awaitLease(request, arrivalNanos, countingSink);
       agreement.confirmNow();
     }
   }
 
-  /** Runs the queries that have waited for the lease. */
+  /** Runs the queries that are waiting for the lease. */
   void onConfirmed() {
     List<Runnable> ready = ImmutableList.copyOf(awaitingLease);
     awaitingLease.clear();
@@ -109,8 +114,8 @@
   }
 
   /**
-   * Runs a query once the configuration is confirmed. Not earlier: without one it is not known
-   * whether the kind is repeatable.
+   * Runs a query. The configuration must be confirmed, because it says whether the kind is
+   * repeatable.
    */
   private void dispatch(
       QueryRequest request, long arrivalNanos, Consumer<Either<QueryError, QueryAnswer>> sink) {
@@ -130,7 +135,8 @@
           Either.left(
               QueryError.of(
                   ErrorKind.TICKET_REQUIRED,
-                  "this kind is not repeatable; send the request again with the ticket given")));
+                  "this kind is not repeatable; send the request again with the ticket in this"
+                      + " response")));
       return;
     }
     Optional<Ticket> ticket = Ticket.parse(request.ticket().get());
@@ -168,7 +174,7 @@
       QueryRequest request, long arrivalNanos, Consumer<Either<QueryError, QueryAnswer>> sink) {
     long wait = confirmationWait(request).toNanos();
     Runnable[] onLease = new Runnable[1];
-    TimerQueue.Timer giveUp =
+    TimerQueue.Timer timeout =
         timers.schedule(
             arrivalNanos + wait,
             () -> {
@@ -176,17 +182,21 @@
               sink.accept(
                   refusal(
                       ErrorKind.NOT_CONFIRMED,
-                      "no majority of this zone's routers confirms the configuration"));
+                      "no majority of the voting group of this zone has confirmed the"
+                          + " configuration"));
             });
     onLease[0] =
         () -> {
-          giveUp.cancel();
+          timeout.cancel();
           dispatch(request, arrivalNanos, sink);
         };
     awaitingLease.add(onLease[0]);
   }
 
-  /** Half of the deadline, so that the query can still run; bounded when that is not known. */
+  /**
+   * Half of the deadline, so that time is left to run the query, but at most {@link
+   * #MAXIMUM_CONFIRMATION_WAIT}, which also applies when no deadline is known.
+   */
   private Duration confirmationWait(QueryRequest request) {
     Optional<Duration> kindDeadline =
         coordinator
@@ -196,7 +206,7 @@
     return Stream.of(request.deadline(), kindDeadline)
         .flatMap(Optional::stream)
         .map(deadline -> deadline.dividedBy(2))
-        .reduce(LONGEST_CONFIRMATION_WAIT, Ordering.natural()::min);
+        .reduce(MAXIMUM_CONFIRMATION_WAIT, Ordering.natural()::min);
   }
 
   private Either<QueryError, QueryAnswer> refusal(ErrorKind kind, String detail) {
--- a/arrowarch-core/src/test/java/io/arrowarch/core/config/ConfigurationCodecTest.java
+++ b/arrowarch-core/src/test/java/io/arrowarch/core/config/ConfigurationCodecTest.java
@@ -9,6 +9,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/**
+ * A faulty configuration document must be rejected with the path of each fault. Each case of {@link
+ * #faults} breaks one element of a valid document; truncated and repeated text stands for documents
+ * damaged on their way.
+ */
 public class ConfigurationCodecTest {
   private static final String VALID = ConfigurationCodec.toJson(TestDocuments.valid());
 
@@ -44,15 +49,15 @@
   }
 
   @Test(dataProvider = "faults")
-  public void namesThePathOfAFault(String good, String bad, String path) {
-    String document = VALID.replaceFirst(Pattern.quote(good), bad);
+  public void namesThePathOfAFault(String valid, String faulty, String path) {
+    String document = VALID.replaceFirst(Pattern.quote(valid), faulty);
     assertThat(document).isNotEqualTo(VALID);
     ImmutableList<ConfigurationFault> faults = ConfigurationCodec.fromJson(document).getLeft();
     assertThat(faults).extracting(ConfigurationFault::path).contains(path);
   }
 
   @Test
-  public void refusesTruncatedAndRepeatedText() {
+  public void rejectsTruncatedAndRepeatedText() {
     assertThat(ConfigurationCodec.fromJson(VALID.substring(0, 200)).isLeft()).isTrue();
     assertThat(ConfigurationCodec.fromJson(VALID + VALID).isLeft()).isTrue();
     assertThat(ConfigurationCodec.fromJson("").isLeft()).isTrue();
