--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/AfterFailure.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/AfterFailure.java
@@ -20,7 +20,7 @@
   /** The budget of extra attempts is used up. */
   NO_BUDGET;
 
-  /** Upper bound of a part's attempts per server, on average over its servers. */
+  /** A part is sent at most this many times for each run that its route allows. */
   private static final int MAXIMUM_ATTEMPTS_PER_SERVER = 2;
 
   /** Decides for a part whose attempt has ended; a retry is charged to the budget. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/AttemptSender.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/AttemptSender.java
@@ -21,8 +21,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Sends attempts and tracks each until it ends, even when its request has already finished: the
- * outcome, or the lack of one, shows whether the server is healthy.
+ * Sends attempts and tracks each until it ends. Attempts of a search are tracked even when the
+ * search has finished: a reply, a failure or silence shows whether the server is healthy.
  */
 final class AttemptSender {
   private static final double NANOS_PER_MILLI = 1e6;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/CrashGuard.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/CrashGuard.java
@@ -20,8 +20,8 @@
 
 /**
  * Refuses quarantined requests, which have crashed servers. A request that is only suspected is
- * first sent to a single server as a canary. While no request is suspected, requests run without
- * their key being computed.
+ * first sent to a single server as a canary, or refused if no canary may be sent now. While no
+ * request is suspected, no request key is computed.
  */
 final class CrashGuard {
   private static final String DETAIL = "servers that ran this request have ended";
@@ -88,7 +88,10 @@
     };
   }
 
-  /** Runs a suspected request on one server, then as usual if that server answers. */
+  /**
+   * Runs a suspected request on one server first. If that server answers a search, the whole search
+   * is run as usual; for a route to one server its answer is final.
+   */
   private final class Canary implements ForwardHandle {
     private final ForwardedRequest request;
     private final Route route;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
@@ -41,9 +41,9 @@
   private static final Duration CONNECT_ROUND_TRIP = Duration.ofMillis(6);
 
   /**
-   * How long after its start a process counts as recently started: until then servers may still
-   * hold connections of its previous incarnation, and its code is slow because it is not compiled
-   * yet.
+   * How long after its start a process counts as recently started: until then it uses a smaller
+   * share of connections. Servers may still hold connections of its previous incarnation, and at
+   * first its code is slow because it is not compiled yet.
    */
   private static final Duration START_UP_PERIOD = Duration.ofSeconds(8);
 
@@ -233,7 +233,10 @@
     admission.startWaiting();
   }
 
-  /** Replaces the limits of hedges and retries. What was spent under the old ones is reset. */
+  /**
+   * Replaces the limits of hedges and retries. If they differ, what was spent under the old ones is
+   * reset.
+   */
   public void reconfigure(ExtraAttemptRules changed) {
     sender.budgets().reconfigure(changed);
   }
@@ -384,7 +387,8 @@
 
   /**
    * Time to deduct from the objective: the time since the caller's first try, the round trip of a
-   * new connection, and the expected delay of this router's own timers.
+   * new connection, and the reserve for delays of this router, in reading the request and in its
+   * timers.
    */
   private Duration spentBefore(ForwardedRequest request, Route route, RouteState state) {
     Duration before = request.timeLeft().map(state::spentBefore).orElse(Duration.ZERO);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardExecution.java
@@ -180,8 +180,9 @@
   }
 
   /**
-   * Whether attempts may still be sent: the caller's key may have been revoked since the admission,
-   * or servers that ran the request may have crashed.
+   * Whether attempts may still be sent: since the admission the caller's API key may have been
+   * revoked, the router's view may have become too old, or servers that ran the request may have
+   * crashed.
    */
   boolean mayRun() {
     return monitor.mayRun();
@@ -375,7 +376,10 @@
     }
   }
 
-  /** Gives up parts that still wait for a connection: they can no longer be answered in time. */
+  /**
+   * Gives up parts that still wait for a connection or for a suspicion of the request to clear:
+   * they can no longer be answered in time.
+   */
   private void onAttemptDeadline() {
     for (PartProgress part : parts) {
       if (!finished && part.isWaiting()) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardHandle.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardHandle.java
@@ -2,7 +2,10 @@
 
 /** A request in progress, as seen by its submitter. */
 public interface ForwardHandle {
-  /** Cancels the request: no answer is delivered. Has no effect after an answer. */
+  /**
+   * Cancels the request, for instance when the caller has disconnected: no answer is delivered. Has
+   * no effect after an answer.
+   */
   void cancel();
 
   /** Handle of a request that already has its answer. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Hedging.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Hedging.java
@@ -15,8 +15,9 @@
   private static final long MINIMUM_RECHECK_NANOS = 2_000_000;
 
   /**
-   * With a smaller fraction of a search's parts answered, this router itself or the network to all
-   * servers is slow, and hedges would make it slower.
+   * No hedge is sent while fewer parts of a search are answered than this fraction of the parts for
+   * which this router has sent attempts: the router itself or the network to all servers is then
+   * slow, and hedges would add load.
    */
   private static final double MINIMUM_ANSWERED_FRACTION = 0.5;
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartProgress.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartProgress.java
@@ -84,7 +84,10 @@
     return lost || isAnswered();
   }
 
-  /** Whether a server, or the router that it was delegated to, has answered it. */
+  /**
+   * Whether a server has answered it, or the router that it was delegated to has answered. Such an
+   * answer may lack this part.
+   */
   boolean isAnswered() {
     return answeredByDelegate || answer.isPresent();
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestLog.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestLog.java
@@ -10,7 +10,7 @@
 final class RequestLog {
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** Value of viewAgeMs for a request that was not refused because of the view's age. */
+  /** Value of viewAgeMs for a request that was not refused before it started. */
   private static final double NOT_REFUSED = -1;
 
   private final ForwardedRequest request;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouteState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouteState.java
@@ -11,7 +11,7 @@
 final class RouteState {
   private static final double MEDIAN_QUANTILE = 0.5;
 
-  /** An attempt that takes longer than this quantile of latencies is hedged. */
+  /** Quantile of latencies that is the hedge delay, within the bounds below. */
   private static final double HEDGE_QUANTILE = 0.9;
 
   /**
@@ -53,7 +53,7 @@
     return latencies;
   }
 
-  /** Median duration of an attempt. */
+  /** Median duration of an attempt, or a fraction of the objective until latencies are known. */
   long expectedNanos(Route route) {
     return latencies.quantileNanos(MEDIAN_QUANTILE, route.objective().toNanos() / EXPECTED_DIVISOR);
   }
@@ -77,7 +77,8 @@
 
   /**
    * Estimates how long ago the caller sent its first try, and records the time left. Most requests
-   * of a route are first tries with the same time left, so one with less has been tried before.
+   * of a route are first tries with the same time left, so the median is that of a first try, and a
+   * request with less has been tried before.
    */
   Duration spentBefore(Duration timeLeft) {
     long millis = Math.min(MAXIMUM_TIME_LEFT_MILLIS, Math.max(1, timeLeft.toMillis()));
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RunPermit.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RunPermit.java
@@ -6,8 +6,8 @@
   RunPermit ALWAYS = () -> true;
 
   /**
-   * Whether an attempt may be sent. To be called right before each one, since the router's view may
-   * become too old while the request waits.
+   * Whether an attempt may be sent. To be called right before each one, since the API key may be
+   * revoked or the router's view may become too old while the request waits.
    */
   boolean isValid();
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchAdmission.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/SearchAdmission.java
@@ -8,8 +8,9 @@
 
 /**
  * Starts searches within the limit of a {@link SlowStart}; further ones wait in a {@link
- * FairQueue}. A first try is refused within a quarter of its objective, in time for a retry. A
- * later try may be the caller's last, so it waits for up to half of its time left.
+ * FairQueue}. A first try that has waited for a fifth of its objective is refused, so that the
+ * caller can still retry in time. Any other request may be the caller's last try, so it waits for
+ * up to half of its time left.
  */
 final class SearchAdmission {
   private static final double REFUSAL_FRACTION = 0.2;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerFailure.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerFailure.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** How an attempt ended without a usable answer. */
+/** How an attempt ended without a valid response. */
 public enum ServerFailure {
   /** No connection could be opened; nothing was written. */
   UNREACHABLE(false),
@@ -12,7 +12,7 @@
   BROKEN(true),
   /** The received bytes are not a valid answer, or not the answer to this request. */
   GARBLED(true),
-  /** No answer came by the attempt's deadline. */
+  /** No answer had come shortly after the attempt's deadline. */
   SILENT(true);
 
   private final boolean mayHaveRun;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/TenantAdmission.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/TenantAdmission.java
@@ -40,7 +40,7 @@
 
     /**
      * The request is refused and has not been executed. Without {@code retryAfter} the caller is
-     * told the default delay.
+     * told the default delay if the error is retryable.
      */
     void refuse(ErrorKind kind, String detail, Optional<Duration> retryAfter);
   }
