--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/AfterFailure.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/AfterFailure.java
@@ -11,16 +11,22 @@
   RETRY,
   /** The request may have run, and its route does not allow it to run twice. */
   NOT_REPEATABLE,
-  /** It may have run on as many servers as the route allows. */
+  /** The part may have run on as many servers as the route allows. */
   NO_ATTEMPT_LEFT,
-  /** So many servers have refused it that another attempt is unlikely to succeed. */
+  /**
+   * Servers have refused the part so often that another attempt is unlikely to succeed: at least
+   * two more attempts were sent than the route allows runs.
+   */
   TRIED_OFTEN_ENOUGH,
   /** Every server that may take it has been tried. */
   NO_OTHER_SERVER,
   /** The budget of extra attempts is used up. */
   NO_BUDGET;
 
-  /** A part is sent at most this many times for each run that its route allows. */
+  /**
+   * A part that may already have run as often as its route allows is sent again only while fewer
+   * than this many attempts have been sent for each allowed run.
+   */
   private static final int MAXIMUM_ATTEMPTS_PER_SERVER = 2;
 
   /** Decides for a part whose attempt has ended; a retry is charged to the budget. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/AttemptBudgets.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/AttemptBudgets.java
@@ -8,7 +8,8 @@
 final class AttemptBudgets {
   /**
    * Fraction of its share that a router may spend in its first window. It reserves the same
-   * fraction later, so that two incarnations within one window do not exceed the share.
+   * fraction later, so that two incarnations of the router within one window do not exceed the
+   * share together.
    */
   private static final double FIRST_WINDOW_FRACTION = 0.3;
 
@@ -55,7 +56,8 @@
   }
 
   /**
-   * Smaller in the first window, as this router's previous incarnation may have spent its share.
+   * This router's share of the allowance. It is smaller in the first window, as this router's
+   * previous incarnation may have spent its share.
    */
   private double share(String service, long nowNanos) {
     boolean inFirstWindow = nowNanos - startNanos < rules.window().toNanos();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/AttemptSender.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/AttemptSender.java
@@ -27,7 +27,7 @@
 final class AttemptSender {
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** A server answers by the attempt's deadline; after this much longer it counts as silent. */
+  /** A server that has not answered this long after the attempt's deadline counts as silent. */
   private static final long SILENCE_SLACK_NANOS = 40_000_000;
 
   /** An expected duration so long that no server counts as stalled. */
@@ -115,8 +115,9 @@
   /**
    * The best server among those whose answer to the part was lost, suspended or not. A part that
    * may have run on as many servers as its route allows can still run on one of these. Connection
-   * resets can lose hundreds of answers while the servers behind them are healthy; with two
-   * attempts for each shard, a search of a hundred shards then misses its minimum coverage.
+   * resets can lose hundreds of answers while the servers behind them are healthy. Without further
+   * attempts at these servers, a search of a hundred shards with two attempts for each would then
+   * miss its minimum coverage.
    */
   Optional<ServerState> chooseAmongLostAnswers(
       PartProgress part, SelectionCriteria selectionCriteria) {
@@ -268,7 +269,10 @@
     return took / Math.max(1, ended.execution().selectionCriteria().expectedNanos());
   }
 
-  /** The expected duration of an attempt by which a stall of the server is detected. */
+  /**
+   * Expected duration of an attempt; a server counts as stalled if an attempt is open for much
+   * longer.
+   */
   private long stallReferenceNanos(ForwardExecution execution) {
     return options.has(Mechanism.STALL_DETECTION)
         ? execution.selectionCriteria().expectedNanos()
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegationOverheadEstimate.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/DelegationOverheadEstimate.java
@@ -15,7 +15,8 @@
   private static final double MINIMUM_FRACTION = 0.03;
 
   /**
-   * Upper bound, as a fraction of the objective; above it the other router would miss most parts.
+   * Upper bound, as a fraction of the objective; with a larger reserve, the other router would have
+   * too little time and most parts would be missing.
    */
   private static final double MAXIMUM_FRACTION = 0.4;
 
@@ -30,7 +31,8 @@
 
   /**
    * The time to reserve from an objective: the longer of the last two measurements, within bounds.
-   * A late answer has a tenth of its full value, while an early one only lacks a few parts.
+   * It is the longer one because a late answer has a tenth of its full value, while an early one
+   * only lacks a few parts.
    */
   long nanos(Duration objective) {
     long objectiveNanos = objective.toNanos();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardCoordinator.java
@@ -35,15 +35,16 @@
 public final class ForwardCoordinator {
   /**
    * The round trip that a caller spends on opening its connection: 3 ms each way at the sites with
-   * the most distant callers. Without deducting it, a caller that has just connected would receive
-   * every answer sent at its due time too late.
+   * the most distant callers. It is deducted from the objective; otherwise an answer sent exactly
+   * when it is due would reach a caller that has just connected too late.
    */
   private static final Duration CONNECT_ROUND_TRIP = Duration.ofMillis(6);
 
   /**
-   * How long after its start a process counts as recently started: until then it uses a smaller
-   * share of connections. Servers may still hold connections of its previous incarnation, and at
-   * first its code is slow because it is not compiled yet.
+   * How long after its start a process counts as recently started. Until then it uses a smaller
+   * share of connections, since servers may still hold those of its previous incarnation, and puts
+   * less load on cold servers, since it may not know most other routers. At first its code is also
+   * slow because it is not compiled yet.
    */
   private static final Duration START_UP_PERIOD = Duration.ofSeconds(8);
 
@@ -76,6 +77,7 @@
   /**
    * Creates a coordinator without a configuration.
    *
+   * @param group the routers that share servers and budgets, as known to this one
    * @param viewAge upper bound of the age of this router's view of configuration and servers; empty
    *     before there is a view
    */
@@ -251,7 +253,9 @@
     return inProgress;
   }
 
-  /** Role of this router in searches, by the configuration and the routers that it knows. */
+  /**
+   * Role of this router in searches, according to the configuration and the routers known to it.
+   */
   public SearchRole searchRole() {
     ImmutableSet<ImmutableList<String>> gathered = layout.gatheredGroups();
     if (gathered.isEmpty()) {
@@ -268,7 +272,10 @@
     return shares.share(service);
   }
 
-  /** Whether this process has just started; all other routers may have started with it. */
+  /**
+   * Whether this process has just started. All other routers may have started with it; it then does
+   * not know them yet and must not rely on their number.
+   */
   private boolean hasJustStarted() {
     return clock.nanoTime() - startNanos < START_UP_PERIOD.toNanos();
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardExecution.java
@@ -20,7 +20,10 @@
 
 /** Runs one request from its admission to its final answer. */
 final class ForwardExecution {
-  /** With less time left no server can answer: the network round trip alone takes this long. */
+  /**
+   * An attempt is not sent if less time is left until its deadline: the network round trip alone
+   * takes this long.
+   */
   private static final long MINIMUM_TIME_LEFT_NANOS = 3_000_000;
 
   private final ForwardedRequest request;
@@ -103,7 +106,10 @@
     return started;
   }
 
-  /** Whether the request can be answered now and its objective has not passed. */
+  /**
+   * Whether the request can be answered now and its objective has not passed. Without {@link
+   * Mechanism#PARTIAL_ANSWERS} the objective is not watched and never counts as passed.
+   */
   boolean isInTime() {
     return !pastObjective && hasMinimumCoverage();
   }
@@ -127,7 +133,7 @@
     return route.objective();
   }
 
-  /** Time from the arrival until the caller gets its final answer at the latest. */
+  /** Time from the arrival until the latest time at which the caller gets its final answer. */
   Duration responseTimeout() {
     return Duration.ofNanos(times.responseDeadlineNanos() - times.arrivalNanos());
   }
@@ -141,7 +147,9 @@
   }
 
   /**
-   * When servers should stop, on the router's monotonic clock: much later answers are of no use.
+   * When servers should stop, on the router's monotonic clock. Answers to parts of a search are of
+   * no use much later than the objective; the server of any other request may work until the
+   * response deadline.
    */
   long attemptDeadlineNanos() {
     return times.attemptDeadlineNanos();
@@ -188,7 +196,7 @@
     return monitor.mayRun();
   }
 
-  /** What the outcomes of its attempts say about the request itself. */
+  /** Monitor of whether the request crashes servers. */
   RequestMonitor monitor() {
     return monitor;
   }
@@ -329,7 +337,10 @@
     }
   }
 
-  /** An untried server; once the route's limit is reached, a server whose answer was lost. */
+  /**
+   * Chooses an untried server or, if the part may already have run as often as the route allows, a
+   * server whose answer was lost.
+   */
   private Optional<ServerState> chooseFor(PartProgress part) {
     return part.possibleRuns() < route.maximumAttempts()
         ? sender.choose(part, selectionCriteria())
@@ -446,8 +457,9 @@
     hedging.stop();
     log.ended(outcome, error, reason, tally);
     if (!isSearch()) {
-      // Attempts at a single server may run long. Those of a search end soon, and closing their
-      // connections would cost more.
+      // Attempts at a single server may run long, so they are cancelled, which closes their
+      // connections. Those of a search end soon, and closing their connections would cost more
+      // than letting them end.
       parts.forEach(sender::cancelAll);
     }
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardOptions.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardOptions.java
@@ -12,7 +12,7 @@
  * @param id id of the router
  * @param zone zone that the router runs in
  * @param cores processor capacity of the router, in cores
- * @param maximumRequests number of requests in progress from which new ones are refused
+ * @param maximumRequests maximum number of requests in progress; further ones are refused
  * @param extraAttempts limits of hedges and retries over all routers together
  * @param defaultTimeLeft time left assumed for a caller that does not state it
  * @param store time limits for following the store
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardedAnswer.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardedAnswer.java
@@ -10,9 +10,9 @@
   /**
    * The merged answer of a search.
    *
-   * @param signatures signatures of the parts that were merged
+   * @param signatures the servers' signatures of the answers that were merged
    * @param missingParts number of shards that are not included
-   * @param records the greatest records, in descending order
+   * @param records the greatest records, in the descending order of {@link RecordMerger}
    */
   record Merged(ImmutableList<String> signatures, int missingParts, Payload records)
       implements ForwardedAnswer {}
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Hedging.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Hedging.java
@@ -9,19 +9,23 @@
 
 /** Sends second attempts for the slow parts of one request. */
 final class Hedging {
-  /** A part that was denied a hedge is checked this many times for each hedge delay. */
+  /** After a hedge is denied, the part is checked again after the hedge delay divided by this. */
   private static final int RECHECKS_PER_DELAY = 4;
 
   private static final long MINIMUM_RECHECK_NANOS = 2_000_000;
 
   /**
-   * No hedge is sent while fewer parts of a search are answered than this fraction of the parts for
-   * which this router has sent attempts: the router itself or the network to all servers is then
-   * slow, and hedges would add load.
+   * No hedge is sent while fewer parts of a search are answered than this fraction of its started
+   * parts: the router itself or the network to all servers is then slow, and hedges would add load.
+   * A part is started when this router has sent an attempt for it; parts answered by delegates
+   * count as answered.
    */
   private static final double MINIMUM_ANSWERED_FRACTION = 0.5;
 
-  /** With fewer parts, the others do not show whether a single one is slow. */
+  /**
+   * With fewer started parts, they cannot be compared to tell whether only some of them are slow,
+   * and hedges are sent regardless of {@link #MINIMUM_ANSWERED_FRACTION}.
+   */
   private static final int MINIMUM_PARTS_TO_COMPARE = 4;
 
   private final ForwardExecution execution;
@@ -38,7 +42,7 @@
    * Prepares hedging.
    *
    * @param objectiveNanos when the answer becomes late, on the router's monotonic clock; after it,
-   *     hedges are sent only while too few parts are answered for an answer
+   *     hedges are sent only while the minimum coverage is missing
    */
   Hedging(
       ForwardExecution execution,
@@ -59,7 +63,10 @@
     this.timers = timers;
   }
 
-  /** Schedules the first check after the hedge delay; called again whenever parts are started. */
+  /**
+   * Schedules the first check after the hedge delay. Called again when this router starts parts
+   * that another router has declined.
+   */
   void start() {
     boolean useless = !route.repeatable() || route.maximumAttempts() < 2;
     if (!useless && sender.options().has(Mechanism.HEDGES)) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/HeldRequests.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/HeldRequests.java
@@ -11,8 +11,8 @@
 
 /**
  * Requests that arrived before the store was read. A process that has just started will soon know
- * the configuration and the servers. A caller whose connection broke when the previous process
- * ended may have no further retry, so its request is held rather than refused.
+ * the configuration and the servers. A caller whose connection broke when the previous incarnation
+ * ended may not be able to retry again, so its request is held rather than refused.
  */
 final class HeldRequests {
   /** How long after the start of the process requests are held. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Mechanism.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Mechanism.java
@@ -6,7 +6,7 @@
 
 /** A mechanism of request routing that can be disabled, to measure its effect. */
 public enum Mechanism {
-  /** A second attempt for a slow part. */
+  /** Hedges: a second attempt for a part of a request whose first attempt is slow. */
   HEDGES,
   /** The load that servers report. */
   LOAD_REPORTS,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartMerger.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartMerger.java
@@ -13,7 +13,7 @@
    *
    * @param parts all parts of the search; those that servers answered here are merged
    * @param mergedAnswers merged answers of other routers
-   * @param missing number of shards that neither contains
+   * @param missing number of shards whose records are in none of these answers
    * @param limit maximum number of records
    */
   static ForwardedAnswer.Merged merge(
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartProgress.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartProgress.java
@@ -57,7 +57,10 @@
     return tried.contains(server.id());
   }
 
-  /** Records that a connection broke before the answer was complete; the server may be healthy. */
+  /**
+   * Records that a connection broke before the answer was complete. The server may be healthy and
+   * may run the part again, once no other attempt of the part is open.
+   */
   void onAnswerLost(String server) {
     lostAnswerServers.add(server);
   }
@@ -154,7 +157,9 @@
     failure = Optional.of(reply);
   }
 
-  /** Records why no hedge was sent; always returns false. */
+  /**
+   * Records why no hedge was sent. Always returns false, so that the caller can return the result.
+   */
   boolean denyHedge(String reason) {
     hedgeDenied = reason;
     return false;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartTally.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PartTally.java
@@ -36,17 +36,17 @@
     lost += more;
   }
 
-  /** Whether enough parts are answered for an answer. */
+  /** Whether enough parts are answered to build an answer. */
   boolean hasMinimum() {
     return answered >= minimum;
   }
 
-  /** Whether too many parts are lost for an answer. */
+  /** Whether so many parts are lost that no answer can be built. */
   boolean cannotReachMinimum() {
     return isBelowMinimum(parts.size() - lost);
   }
 
-  /** Whether this number of parts is too small for an answer. */
+  /** Whether this number of parts is too small to build an answer. */
   boolean isBelowMinimum(int reachable) {
     return reachable < minimum;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/PostponedParts.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/PostponedParts.java
@@ -7,8 +7,9 @@
 
 /**
  * Parts that wait until it is known whether their request crashes servers. A connection reset looks
- * like a crashed server. An answer to any other part of the request shows shortly afterwards that
- * it was only a reset; without this wait, the parts that failed first would be missing.
+ * like a crashed server. If it was only a reset, another part of the request is usually answered
+ * shortly afterwards, and the postponed parts can be sent again. Without this wait, the parts that
+ * failed first would be missing.
  */
 final class PostponedParts {
   private final List<PartProgress> all;
@@ -35,7 +36,10 @@
     return possible;
   }
 
-  /** Called after an attempt has ended: starts parts that may run, or gives up if none is open. */
+  /**
+   * Called after an attempt has ended: starts the postponed parts if the request may run, or gives
+   * them up if no attempt is open that could clear it.
+   */
   void settle(Consumer<PartProgress> start, Consumer<PartProgress> giveUp) {
     if (postponed.isEmpty()) {
       return;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RecordMerger.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RecordMerger.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** Merges parts of fixed-size records in descending order, compared as unsigned bytes. */
+/**
+ * Merges payloads, each a sequence of fixed-size records, into the greatest records in descending
+ * order. Records are compared as unsigned bytes.
+ */
 final class RecordMerger {
   /** Length of a record; a shorter remainder of a part is ignored. */
   static final int RECORD_BYTES = 16;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Refusals.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Refusals.java
@@ -43,7 +43,7 @@
     this.events = events;
   }
 
-  /** Refuses a request. If it is retryable, the caller is told the default delay before a retry. */
+  /** Refuses a request. If it is retryable, the caller is told to retry after the default delay. */
   ForwardHandle refuse(
       ForwardedRequest request,
       ErrorKind kind,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestLog.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestLog.java
@@ -48,7 +48,7 @@
    *
    * @param outcome how the attempt ended
    * @param status the HTTP status of the reply; 0 without one
-   * @param next what follows
+   * @param next what is done next for the part
    */
   void attemptFailed(
       PartProgress part, OpenAttempt attempt, String outcome, int status, String next) {
@@ -68,7 +68,7 @@
    * Logs that the final answer is sent, or that the caller has disconnected.
    *
    * @param error name of the error kind; empty without one
-   * @param reason why the request ended now
+   * @param reason why the request ended
    */
   void ended(String outcome, String error, String reason, PartTally tally) {
     long nowNanos = clock.nanoTime();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestMonitor.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestMonitor.java
@@ -7,7 +7,7 @@
 
 /**
  * Decides whether attempts of one request may still be sent, and reports to {@link SuspectRequests}
- * whether its attempts were answered or broke their connections.
+ * which attempts were answered and which lost their connection.
  */
 final class RequestMonitor {
   private final SuspectRequests suspects;
@@ -36,7 +36,7 @@
     return new RequestMonitor(suspects, request, permit, true);
   }
 
-  /** For a request that a server has just answered. */
+  /** For a request whose canary a server has just answered, so that it is not suspected. */
   static RequestMonitor ofAnswered(
       SuspectRequests suspects, ForwardedRequest request, RunPermit permit) {
     RequestMonitor monitor = new RequestMonitor(suspects, request, permit, false);
@@ -46,18 +46,25 @@
 
   /**
    * Whether an attempt may be sent. To be called right before each one, since the request may have
-   * become suspected or its permit invalid while it waited.
+   * become suspected, its API key may have been revoked, or the router's view may have become too
+   * old while it waited.
    */
   boolean mayRun() {
     return permit.isValid() && !isSuspected();
   }
 
-  /** Whether suspicion alone keeps the request from running; an answer to any part clears it. */
+  /**
+   * Whether only the suspicion keeps the request from running. An answer to any of its parts
+   * removes the suspicion.
+   */
   boolean mayBeCleared() {
     return permit.isValid() && isSuspected();
   }
 
-  /** Whether the request might crash the next server that it is sent to. */
+  /**
+   * Whether the request might crash the next server that it is sent to. A canary is held back only
+   * if its request is quarantined.
+   */
   boolean isSuspected() {
     if (answered || suspects.isEmpty()) {
       return false;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestTimes.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RequestTimes.java
@@ -7,7 +7,7 @@
  * The points in time of one request, on the router's monotonic clock.
  *
  * @param objectiveNanos when an answer must be sent to reach the caller with its full value
- * @param responseDeadlineNanos when the caller gets its final answer at the latest
+ * @param responseDeadlineNanos latest time at which the caller gets its final answer
  * @param attemptDeadlineNanos when servers should stop
  * @param retryAfter how long a refused caller should wait before it retries
  */
@@ -18,18 +18,21 @@
     long attemptDeadlineNanos,
     Duration retryAfter) {
   /**
-   * Time reserved for the network and this router's own delays: 3 ms from and 3 ms to the caller, 1
-   * ms of timer delay, 1 ms to write the answer.
+   * Time reserved for the network and this router's own delays. At the sites with the most distant
+   * callers the network takes 3 ms each way; timer delay and writing the answer take 1 ms each.
    */
   private static final Duration DELIVERY_RESERVE = Duration.ofMillis(8);
 
   /** Reserved in addition, as a fraction of the objective. */
   private static final double DELIVERY_RESERVE_FRACTION = 0.05;
 
-  /** Margin in which the final answer reaches the caller before it stops waiting. */
+  /** Time reserved so that the final answer reaches the caller before it stops waiting. */
   private static final Duration DEADLINE_MARGIN = Duration.ofMillis(15);
 
-  /** Servers of a search may work for at least this many objectives, as the answer may be late. */
+  /**
+   * The attempt timeout of a search is at least this many objectives, unless its caller stops
+   * waiting earlier: an answer may be late and still count.
+   */
   private static final int MINIMUM_ATTEMPT_OBJECTIVES = 2;
 
   /**
@@ -46,8 +49,10 @@
    * Computes the times of a request.
    *
    * @param timeLeft how long the caller waits from the arrival on
-   * @param spent time between the caller's first attempt and this arrival
-   * @param search whether the request is a search, whose parts are of no use much later
+   * @param spent time to deduct from the objective: the time since the caller's first try, the
+   *     round trip of a new connection, and the reserve for delays of this router
+   * @param search whether the request is a search, whose parts are of no use much later than its
+   *     objective
    * @param random from 0 to 1; spreads the retries of callers that are refused together
    */
   static RequestTimes of(
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouteState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouteState.java
@@ -15,8 +15,9 @@
   private static final double HEDGE_QUANTILE = 0.9;
 
   /**
-   * Upper bound of the hedge delay, in medians. If many servers are slow, the quantile is a latency
-   * of the slow ones, and without this bound hedges would be sent too late.
+   * The hedge delay is at most this many median latencies, but never below {@link
+   * #MINIMUM_HEDGE_NANOS}. If many servers are slow, the quantile is a latency of the slow ones,
+   * and without this bound hedges would be sent too late.
    */
   private static final double MAXIMUM_HEDGE_MEDIANS = 2;
 
@@ -31,12 +32,12 @@
   private static final double MEDIAN_PERCENTILE = 50;
 
   /**
-   * Differences from the usual time left below this fraction of it are attributed to network delay,
-   * not to earlier tries.
+   * If a caller's time left differs from that of a first try by less than this fraction, the
+   * difference is attributed to network delay, not to earlier tries.
    */
   private static final double NETWORK_DELAY_FRACTION = 0.02;
 
-  /** With fewer requests the time left of a first try cannot be estimated. */
+  /** Number of requests of the route that are needed to tell first tries from retries. */
   private static final int MINIMUM_SAMPLES = 3;
 
   private final LatencyTracker latencies = new LatencyTracker();
@@ -89,8 +90,8 @@
   }
 
   /**
-   * Whether the request is probably a first try: its caller has about as much time left as any
-   * caller of the route so far. False while there are too few requests to tell.
+   * Whether the request is probably a first try: its caller has about as much time left as the most
+   * that any caller of the route has had. False while there are too few requests to tell.
    */
   boolean isFirstTry(Duration timeLeft) {
     return timesLeftMillis.getTotalCount() >= MINIMUM_SAMPLES
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerReply.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerReply.java
@@ -11,7 +11,7 @@
  * @param answersRequest whether it answers the request just sent, not an earlier one
  * @param signature the server's signature of the answer
  * @param notRun whether the server guarantees that the request did not run
- * @param misdirected whether a server other than the addressed one answered
+ * @param misdirected whether another server answered than the one addressed
  * @param load the server's load report, if the answer has one
  * @param headers those that are passed back to the caller
  */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerTransport.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerTransport.java
@@ -9,6 +9,8 @@
   /** Starts sending an attempt. */
   void send(ServerAttempt attempt);
 
-  /** Makes the server stop; nothing is reported for this attempt afterwards. */
+  /**
+   * Cancels an attempt, so that the server stops. Nothing is reported for this attempt afterwards.
+   */
   void cancel(ServerAttempt attempt);
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServiceBudget.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServiceBudget.java
@@ -5,10 +5,16 @@
  * own requests, plus its share of the service's allowance.
  */
 final class ServiceBudget {
-  /** Leaves a margin, since routers see router counts and arrivals at slightly different times. */
+  /**
+   * Leaves a margin: a change of the number of routers, or an arrival, is not seen by all routers
+   * at the same time.
+   */
   private static final double SAFETY_FACTOR = 0.85;
 
-  /** Fraction that hedges leave for retries, without which a request would fail. */
+  /**
+   * Fraction of the budget that only retries may use: a request without its retry fails, one
+   * without a hedge is only slower.
+   */
   private static final double RETRY_RESERVE_FRACTION = 0.25;
 
   private final ExtraAttemptRules rules;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/SlidingWindowCounter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/SlidingWindowCounter.java
@@ -1,7 +1,8 @@
 package io.arrowarch.core.forward;
 
 /**
- * Counts events in a sliding window of slices. A slice counts until all of it has left the window.
+ * Counts events in a sliding window of slices. A slice counts until all of it has left the window,
+ * so that the count covers up to one slice more than the window.
  */
 final class SlidingWindowCounter {
   private static final int SLICES = 50;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/SlowStart.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/SlowStart.java
@@ -4,9 +4,9 @@
 
 /**
  * Limits the number of concurrent searches in a process that has just started. Its code is not
- * compiled yet, so many concurrent searches would all be late; a few are in time, and running them
- * gets the code compiled for the next ones. The limit grows by one for each search that ends in
- * time, and is lifted after a fixed period in any case.
+ * compiled yet, and with many concurrent searches all of them would be late; a few are in time, and
+ * running them gets the code compiled for the next ones. The limit grows by one for each search
+ * that ends in time, and is lifted after a fixed period in any case.
  */
 final class SlowStart {
   private static final Duration MAXIMUM_DURATION = Duration.ofMillis(3_500);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/TenantAdmission.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/TenantAdmission.java
@@ -96,8 +96,8 @@
 
   /**
    * The permit for a search that another router delegates to this one; empty if the search may not
-   * run here. By this router's own view, its API key must belong to the tenant that it states. The
-   * delegating router has already counted it against the tenant's limit.
+   * run here. In this router's view, the API key of the search must belong to the tenant that the
+   * search states. The delegating router has already counted it against the tenant's limit.
    */
   Optional<RunPermit> permitForDelegated(ForwardedRequest request, Route route) {
     Optional<Credential> credential = request.caller().credential();
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Returns the unit of the limit that an admitted request took; it was not executed and will not
-   * be.
+   * Refunds the unit of the rate limit that an admitted request took. To be called if the request
+   * was not executed and will not be.
    */
   void giveBack(Tenant tenant) {
     limiter.giveBack(tenant);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/TimerLateness.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/TimerLateness.java
@@ -3,10 +3,11 @@
 import java.time.Duration;
 
 /**
- * Measures how late the timers of this router run, and how much of a request's objective to reserve
- * for that. A request waits unread for about as long before the router sees it, so the delay is
- * reserved twice. A late answer is worth only a tenth of one in time, whereas an answer sent a
- * little early lacks only a part or two.
+ * Estimates how late the timers of this router run, from the last timers that fired at the
+ * objectives of requests, and how much of a request's objective to reserve for that. A request also
+ * waits before the router reads it, for about as long as a timer is late, so the delay is reserved
+ * twice. Reserving too much costs little: an answer sent a little early lacks only a part or two,
+ * whereas a late answer has only a tenth of the value.
  *
  * <p>It matters on small machines whose processor is shared or temporarily exhausted.
  */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/WeightedRotation.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/WeightedRotation.java
@@ -7,8 +7,8 @@
 /**
  * Smooth weighted round-robin over services: they get requests in proportion to their weights, as
  * evenly as whole requests allow. In each turn every service gains credit equal to its weight; the
- * one with the most credit gets the request and is charged the total weight. The initial credits
- * are random, so that routers do not pick the same services in step.
+ * one with the most credit gets the request and pays the sum of all weights from its credit. The
+ * initial credits are random, so that routers do not pick the same services in step.
  */
 final class WeightedRotation {
   private final List<WeightedService> services;
