--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ForwardExecution.java
@@ -21,8 +21,8 @@
 /** Runs one request from its admission to its final answer. */
 final class ForwardExecution {
   /**
-   * An attempt is not sent if less time is left until its deadline: the network round trip alone
-   * takes this long.
+   * A part is given up instead of being sent if less time is left until the attempt deadline: the
+   * network round trip alone takes this long.
    */
   private static final long MINIMUM_TIME_LEFT_NANOS = 3_000_000;
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouteState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouteState.java
@@ -9,6 +9,7 @@
 
 /** State of one route that a router keeps across requests and configuration versions. */
 final class RouteState {
+  /** The median for {@link LatencyTracker}, which takes quantiles from 0 to 1. */
   private static final double MEDIAN_QUANTILE = 0.5;
 
   /** Quantile of latencies that is the hedge delay, within the bounds below. */
@@ -26,9 +27,13 @@
   /** Until latencies are known, an attempt is expected to take the objective divided by this. */
   private static final int EXPECTED_DIVISOR = 6;
 
+  /** Until latencies are known, the hedge delay is the objective divided by this. */
   private static final int HEDGE_DIVISOR = 3;
+
   private static final long MAXIMUM_TIME_LEFT_MILLIS = 600_000;
   private static final int SIGNIFICANT_DIGITS = 3;
+
+  /** The median for {@link Histogram}, which takes percentiles from 0 to 100. */
   private static final double MEDIAN_PERCENTILE = 50;
 
   /**
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerTransport.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ServerTransport.java
@@ -10,7 +10,8 @@
   void send(ServerAttempt attempt);
 
   /**
-   * Cancels an attempt, so that the server stops. Nothing is reported for this attempt afterwards.
+   * Cancels an attempt by closing its connection, so that the server stops. Nothing is reported for
+   * this attempt afterwards.
    */
   void cancel(ServerAttempt attempt);
 }
