--- a/arrowarch-core/src/main/java/io/arrowarch/core/feed/FeedContents.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/feed/FeedContents.java
@@ -133,12 +133,12 @@
    * revision of that version, so that routers which follow this one receive it.
    */
   private boolean keepKnown(FeedItem known, FeedItem refused) {
-    boolean refusedVersion = refused.revision().isAfter(known.revision());
-    if (refusedVersion) {
+    boolean isLaterRevision = refused.revision().isAfter(known.revision());
+    if (isLaterRevision) {
       changeCount++;
       items.put(known.key(), known.withRevision(refused.revision()));
     }
-    return refusedVersion;
+    return isLaterRevision;
   }
 
   /**
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ConnectionShares.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ConnectionShares.java
@@ -61,8 +61,8 @@
     if (recentlyStarted.getAsBoolean()) {
       share /= RECENT_START_DIVISOR;
     }
-    int fewest = gathering.isPresent() ? MIN_ATTEMPTS_OF_GATHERER : 1;
-    return Math.max(fewest, Math.min(MAX_OPEN_ATTEMPTS, (int) share));
+    int minimum = gathering.isPresent() ? MIN_ATTEMPTS_OF_GATHERER : 1;
+    return Math.max(minimum, Math.min(MAX_OPEN_ATTEMPTS, (int) share));
   }
 
   /**
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
@@ -112,18 +112,18 @@
         knowsTooFewShards
             ? ImmutableList.copyOf(byZone.keySet())
             : zonesNearServers(group, byZone, nowNanos);
-    double largestCores = largestCores(zones, byZone);
+    double maximumCores = maximumCores(zones, byZone);
     int allowed = Math.max(1, layout.gatherersAllowed(group.get(0)) / zones.size());
-    boolean near = !knowsTooFewShards && zones.contains(options.zone());
+    boolean isOwnZoneNear = !knowsTooFewShards && zones.contains(options.zone());
     List<NearbyRouter> primary = new ArrayList<>();
     List<NearbyRouter> backup = new ArrayList<>();
     OwnRole ownRole = OwnRole.NONE;
     int primaryCount = 0;
     for (String zone : zones) {
       ImmutableList<NearbyRouter> ranked = ShardGroups.ranked(group, byZone.get(zone));
-      boolean usedFromHere = !near || zone.equals(options.zone());
+      boolean usedFromHere = !isOwnZoneNear || zone.equals(options.zone());
       for (NearbyRouter router : ranked.subList(0, Math.min(allowed, ranked.size()))) {
-        boolean isPrimary = router.cores() >= PRIMARY_CORES_FRACTION * largestCores;
+        boolean isPrimary = router.cores() >= PRIMARY_CORES_FRACTION * maximumCores;
         primaryCount += isPrimary ? 1 : 0;
         if (router.id().equals(options.id())) {
           ownRole = isPrimary ? OwnRole.PRIMARY : OwnRole.BACKUP;
@@ -177,13 +177,13 @@
     return near;
   }
 
-  private static double largestCores(List<String> zones, Map<String, List<NearbyRouter>> byZone) {
-    double largestCores = 0;
+  private static double maximumCores(List<String> zones, Map<String, List<NearbyRouter>> byZone) {
+    double maximumCores = 0;
     for (String zone : zones) {
       for (NearbyRouter router : byZone.get(zone)) {
-        largestCores = Math.max(largestCores, router.cores());
+        maximumCores = Math.max(maximumCores, router.cores());
       }
     }
-    return largestCores;
+    return maximumCores;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterPeers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/RouterPeers.java
@@ -71,7 +71,7 @@
   private final Membership membership;
   private final Consumer<String> onDrain;
   private final StoreRevisions revisions;
-  private final Consumer<PeerMessage> others;
+  private final Consumer<PeerMessage> otherMessages;
   private ImmutableList<MemberRecord> nearbySource = ImmutableList.of();
   private ImmutableList<NearbyRouter> nearby = ImmutableList.of();
   private int recentMaximum;
@@ -84,7 +84,7 @@
    * @param contacts peer addresses to try first, as IP:PORT
    * @param onDrain receives the id of each server that another router reports as draining
    * @param revisions exchanges store revisions with the other routers
-   * @param others receives every message that is not about membership
+   * @param otherMessages receives every message that is not about membership
    */
   public RouterPeers(
       MemberRecord self,
@@ -96,12 +96,12 @@
       EventLog events,
       Consumer<String> onDrain,
       StoreRevisions revisions,
-      Consumer<PeerMessage> others) {
+      Consumer<PeerMessage> otherMessages) {
     this.clock = clock;
     this.events = events;
     this.onDrain = onDrain;
     this.revisions = revisions;
-    this.others = others;
+    this.otherMessages = otherMessages;
     this.membership =
         new Membership(self, contacts, clock, timers, random, transport, this::storeNews);
     this.recentMaximum = ROUTERS_PER_CONTACT * (1 + contacts.size());
@@ -229,7 +229,7 @@
     } else if (body instanceof PeerBody.PingRequest request) {
       membership.onPingRequest(sender, request);
     } else {
-      others.accept(message);
+      otherMessages.accept(message);
     }
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/WatchRelays.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/WatchRelays.java
@@ -28,13 +28,13 @@
   private static final int MIN_RELAYS = 2;
 
   /** In a group with fewer routers, each router watches the store. */
-  private static final int LARGE_ZONE_ROUTERS = 6;
+  private static final int LARGE_GROUP_ROUTERS = 6;
 
   private static final int ROUTERS_PER_RELAY_IN_SMALL_ZONE = 4;
   private static final int ROUTERS_PER_RELAY_IN_LARGE_ZONE = 8;
 
   /** How long a relay that failed to answer is not followed. */
-  private static final Duration FAILURE_BACKOFF = Duration.ofSeconds(2);
+  private static final Duration AVOIDANCE_PERIOD = Duration.ofSeconds(2);
 
   private static final HashFunction HASH = Hashing.murmur3_128();
 
@@ -43,10 +43,10 @@
   private final RouterClock clock;
   private final long ownIdHash;
   private final Map<String, Long> failedNanos = new HashMap<>();
-  private ImmutableList<NearbyRouter> cachedViewSource = ImmutableList.of();
-  private Optional<View> cachedView = Optional.empty();
-  private int queriesAtStart;
-  private int queriesAfterGap;
+  private ImmutableList<NearbyRouter> cachedPlanSource = ImmutableList.of();
+  private Optional<RelayPlan> cachedPlan = Optional.empty();
+  private int nextContact;
+  private int nextRelayAfterGap;
 
   /**
    * The relays of a group as this router sees them.
@@ -56,7 +56,7 @@
    * @param relays addresses of the relays among the other routers. If this router is a relay, the
    *     list also has the router that would replace it.
    */
-  private record View(boolean allWatchStore, boolean isRelay, ImmutableList<String> relays) {}
+  private record RelayPlan(boolean allWatchStore, boolean isRelay, ImmutableList<String> relays) {}
 
   /** Another router and the hash that ranks it. */
   private record Ranked(String address, long idHash) {}
@@ -71,31 +71,31 @@
   /** Whether this router is a relay. It is one while it knows no other router of its group. */
   @Override
   public boolean isRelay() {
-    return view().isRelay();
+    return plan().isRelay();
   }
 
   @Override
   public boolean isFollowed() {
-    return !view().allWatchStore() && view().isRelay();
+    return !plan().allWatchStore() && plan().isRelay();
   }
 
   @Override
   public boolean usesRelays() {
-    return !view().allWatchStore() && !view().isRelay();
+    return !plan().allWatchStore() && !plan().isRelay();
   }
 
   @Override
   public Optional<String> relayToFollow() {
-    View view = view();
-    if (view.allWatchStore()) {
+    RelayPlan plan = plan();
+    if (plan.allWatchStore()) {
       return Optional.empty();
     }
-    ImmutableList<String> relays = view.relays();
+    ImmutableList<String> relays = plan.relays();
     // Routers start at different relays, so that the followers spread evenly.
     int first = (int) Math.floorMod(ownIdHash, (long) relays.size());
     for (int i = 0; i < relays.size(); i++) {
       String relay = relays.get((first + i) % relays.size());
-      if (!isBackingOff(relay)) {
+      if (!isAvoided(relay)) {
         return Optional.of(relay);
       }
     }
@@ -104,38 +104,41 @@
 
   @Override
   public Optional<String> relayToAskAfterGap() {
-    View view = view();
-    if (view.allWatchStore() || view.isRelay()) {
+    RelayPlan plan = plan();
+    if (plan.allWatchStore() || plan.isRelay()) {
       return Optional.empty();
     }
-    ImmutableList<String> relays = view.relays();
-    int next = (int) Math.floorMod(ownIdHash + queriesAfterGap++, (long) relays.size());
+    ImmutableList<String> relays = plan.relays();
+    int next = (int) Math.floorMod(ownIdHash + nextRelayAfterGap++, (long) relays.size());
     return Optional.of(relays.get(next));
   }
 
-  /** Returns the view for the routers now known; rebuilt only when that list changes. */
+  /** Returns the plan for the routers now known; rebuilt only when that list changes. */
   @SuppressWarnings("ReferenceEquality")
-  private View view() {
+  private RelayPlan plan() {
     ImmutableList<NearbyRouter> nearby = routers.nearby();
-    if (cachedView.isEmpty() || nearby != cachedViewSource) {
-      cachedViewSource = nearby;
-      cachedView = Optional.of(buildView());
+    if (cachedPlan.isEmpty() || nearby != cachedPlanSource) {
+      cachedPlanSource = nearby;
+      cachedPlan = Optional.of(buildPlan());
     }
-    return cachedView.get();
+    return cachedPlan.get();
   }
 
-  private View buildView() {
+  private RelayPlan buildPlan() {
     List<Ranked> others = new ArrayList<>();
     for (NearbyRouter router : groupPeers()) {
       others.add(new Ranked(router.address(), idHash(router.id())));
     }
     int groupSize = others.size() + 1;
-    int count = count(groupSize);
+    int relayCount = relayCount(groupSize);
     long before = others.stream().filter(router -> router.idHash() < ownIdHash).count();
     others.sort(Comparator.comparingLong(Ranked::idHash));
     ImmutableList<String> relays =
-        others.stream().limit(count).map(Ranked::address).collect(ImmutableList.toImmutableList());
-    return new View(allWatchStore(groupSize), before < count, relays);
+        others.stream()
+            .limit(relayCount)
+            .map(Ranked::address)
+            .collect(ImmutableList.toImmutableList());
+    return new RelayPlan(allWatchStore(groupSize), before < relayCount, relays);
   }
 
   @Override
@@ -143,17 +146,17 @@
     failedNanos.put(address, clock.nanoTime());
   }
 
-  private boolean isBackingOff(String address) {
+  private boolean isAvoided(String address) {
     Long failed = failedNanos.get(address);
-    return failed != null && clock.nanoTime() - failed < FAILURE_BACKOFF.toNanos();
+    return failed != null && clock.nanoTime() - failed < AVOIDANCE_PERIOD.toNanos();
   }
 
   /** Whether every router of a group of this size follows the store itself. */
   private boolean allWatchStore(int groupSize) {
-    return groupSize < LARGE_ZONE_ROUTERS || !options.has(Mechanism.FOLLOWED_LOOKOUTS);
+    return groupSize < LARGE_GROUP_ROUTERS || !options.has(Mechanism.FOLLOWED_LOOKOUTS);
   }
 
-  private int count(int groupSize) {
+  private int relayCount(int groupSize) {
     int routersPerRelay =
         allWatchStore(groupSize)
             ? ROUTERS_PER_RELAY_IN_SMALL_ZONE
@@ -173,7 +176,7 @@
         ofZone.add(router);
       }
     }
-    boolean small = ofZone.size() + 1 < LARGE_ZONE_ROUTERS;
+    boolean small = ofZone.size() + 1 < LARGE_GROUP_ROUTERS;
     return small && options.store().everyView() ? new ArrayList<>(routers.nearby()) : ofZone;
   }
 
@@ -183,7 +186,7 @@
     if (contacts.isEmpty()) {
       return Optional.empty();
     }
-    int next = (int) Math.floorMod(ownIdHash + queriesAtStart++, (long) contacts.size());
+    int next = (int) Math.floorMod(ownIdHash + nextContact++, (long) contacts.size());
     return Optional.of(contacts.get(next));
   }
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/server/ServerChooser.java
@@ -57,8 +57,8 @@
     // A stalled server is likely to stay stalled for as long again.
     long stalled = server.stalledNanos(nowNanos);
     double stallCost = stalled == 0 ? 0 : 2.0 * expectedNanos + stalled;
-    double tieBreak =
+    double loadAndRandomCost =
         expectedNanos * (LOAD_COST_FRACTION * load + RANDOM_COST_FRACTION * random.nextDouble());
-    return work * (1 + waiting) + stallCost + tieBreak;
+    return work * (1 + waiting) + stallCost + loadAndRandomCost;
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/waiting/FairQueue.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/waiting/FairQueue.java
@@ -44,7 +44,7 @@
   /** Removes work that no longer waits; returns whether it was in the queue. */
   public boolean remove(T work) {
     boolean removed = entries.removeIf(entry -> entry.work().equals(work));
-    resetTurnsWhenEmpty();
+    resetTenantTurnsWhenEmpty();
     return removed;
   }
 
@@ -63,7 +63,7 @@
     }
     entries.remove(next);
     turnsByTenant.merge(next.tenant(), 1, Integer::sum);
-    resetTurnsWhenEmpty();
+    resetTenantTurnsWhenEmpty();
     return Optional.of(next.work());
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Turns from before the queue was empty don't affect the order. */
-  private void resetTurnsWhenEmpty() {
+  private void resetTenantTurnsWhenEmpty() {
     if (entries.isEmpty()) {
       turnsByTenant.clear();
     }
