--- a/arrowarch-core/src/main/java/io/arrowarch/core/feed/ViewFreshness.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/feed/ViewFreshness.java
@@ -20,9 +20,9 @@
    * A proof of the age of the view.
    *
    * @param askedNanos when the proof was requested, on the router's own clock
-   * @param age the age of the view at that time; negative if the answer proves it to be complete as
-   *     of a later time. If it was measured on another machine, it includes time for which this
-   *     machine was suspended
+   * @param age the largest age that the view may have had at that time; negative if the answer
+   *     proves it to be complete as of a later time. If it was measured on another machine, it
+   *     includes time for which this machine was suspended
    */
   private record Confirmation(long askedNanos, Duration age) {}
 
