--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/Gatherers.java
@@ -24,8 +24,8 @@
   private static final double COVERAGE_SLACK = 0.3;
 
   /**
-   * The share of the shards, from 0 to 1, of which a router must know a server. Below it the router
-   * is missing updates from the store and leaves the gathering to any other router, which may know
+   * A fraction, from 0 to 1, of the shards. A router that knows servers for a smaller fraction is
+   * missing updates from the store. It leaves the gathering to any other router, which may know
    * more.
    */
   private static final double MINIMUM_KNOWN_SHARE = 0.5;
@@ -49,8 +49,9 @@
   /**
    * The gatherers that this router would use for a group of shards.
    *
-   * @param primary the primary gatherers, without this router
-   * @param backup the backup gatherers, for when no primary one is available
+   * @param primary the primary gatherers that this router delegates to: the others of its own zone
+   *     if that is near the servers, else those of all zones near the servers
+   * @param backup the backup gatherers of the same zones, for when no primary one is available
    * @param ownRole whether this router is a gatherer of the group itself
    * @param primaryCount number of primary gatherers in all zones, at least 1
    */
@@ -111,18 +112,18 @@
         knowsTooFewShards
             ? ImmutableList.copyOf(byZone.keySet())
             : zonesNearServers(group, byZone, nowNanos);
-    double largestCores = largestCores(zones, byZone);
+    double maximumCores = maximumCores(zones, byZone);
     int allowed = Math.max(1, layout.gatherersAllowed(group.get(0)) / zones.size());
-    boolean near = !knowsTooFewShards && zones.contains(options.zone());
+    boolean isOwnZoneNear = !knowsTooFewShards && zones.contains(options.zone());
     List<LiveRouter> primary = new ArrayList<>();
     List<LiveRouter> backup = new ArrayList<>();
     OwnRole ownRole = OwnRole.NONE;
     int primaryCount = 0;
     for (String zone : zones) {
       ImmutableList<LiveRouter> ranked = ShardGroups.ranked(group, byZone.get(zone));
-      boolean usedFromHere = !near || zone.equals(options.zone());
+      boolean usedFromHere = !isOwnZoneNear || zone.equals(options.zone());
       for (LiveRouter router : ranked.subList(0, Math.min(allowed, ranked.size()))) {
-        boolean isPrimary = router.cores() >= PRIMARY_CORES_FRACTION * largestCores;
+        boolean isPrimary = router.cores() >= PRIMARY_CORES_FRACTION * maximumCores;
         primaryCount += isPrimary ? 1 : 0;
         if (router.id().equals(options.id())) {
           ownRole = isPrimary ? OwnRole.PRIMARY : OwnRole.BACKUP;
@@ -176,13 +177,13 @@
     return near;
   }
 
-  private static double largestCores(List<String> zones, Map<String, List<LiveRouter>> byZone) {
-    double largestCores = 0;
+  private static double maximumCores(List<String> zones, Map<String, List<LiveRouter>> byZone) {
+    double maximumCores = 0;
     for (String zone : zones) {
       for (LiveRouter router : byZone.get(zone)) {
-        largestCores = Math.max(largestCores, router.cores());
+        maximumCores = Math.max(maximumCores, router.cores());
       }
     }
-    return largestCores;
+    return maximumCores;
   }
 }
