--- a/arrowarch-core/src/main/java/io/arrowarch/core/error/ErrorKind.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/error/ErrorKind.java
@@ -5,9 +5,9 @@
 /**
  * All errors that a caller can see.
  *
- * <p>Each kind determines the HTTP status, whether the same request may be retried, and what is
- * known about execution when the error arises before any attempt was written. An error that arises
- * later carries its own {@link Executed}, from the attempts of its query.
+ * <p>Each kind determines the HTTP status, whether the same request may be retried, and the
+ * strongest claim about execution that always holds for the kind. An error that arises after an
+ * attempt was written carries its own {@link Executed}, from the attempts of its query.
  */
 public enum ErrorKind {
   /** The request could not be parsed. */
@@ -28,7 +28,7 @@
   TICKET_REQUIRED(428, Executed.NO, true),
   /** The ticket was issued by another node or by an earlier incarnation of this one. */
   TICKET_ELSEWHERE(421, Executed.UNKNOWN, false),
-  /** The ticket is older than the oldest redemption that this node still remembers. */
+  /** The number of the ticket is not above that of a redemption that this node has dropped. */
   TICKET_EXPIRED(410, Executed.UNKNOWN, false),
   /** The ticket has already been redeemed with another request. */
   TICKET_MISMATCH(409, Executed.NO, false),
@@ -72,7 +72,7 @@
     return httpStatus;
   }
 
-  /** What is known about execution when the kind arises before any attempt was written. */
+  /** The strongest claim about execution that always holds for the kind. */
   public Executed executed() {
     return executed;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/event/RouterEvent.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/event/RouterEvent.java
@@ -29,8 +29,8 @@
   /**
    * A request got its final answer, or was cancelled by its caller.
    *
-   * @param requestKey hash that identifies the request when it is sent again; empty where it was
-   *     answered or not examined
+   * @param requestKey first digits of the hash that identifies the request when it is sent again;
+   *     empty for a request that was answered, or whose hash was not computed
    * @param version of the configuration that applied to it; 0 without one
    * @param outcome answered, partial, refused, failed, cancelled
    * @param error name of the error kind; empty for a success
@@ -277,7 +277,7 @@
   }
 
   /**
-   * An entry of the store is malformed, so that its server is not used.
+   * An entry of the store is malformed and is not used.
    *
    * @param fault one sentence, without any of the entry's contents
    */
@@ -372,12 +372,13 @@
   }
 
   /**
-   * A tenant came near its limit over all routers, or is no longer near it; or the router that
-   * counts it gave no verdict.
+   * A tenant came near its limit over all routers, or is no longer near it; or a router that counts
+   * tenants gave no verdict on a message.
    *
+   * @param tenant empty for a missing verdict, since a message may be about several tenants
    * @param state near, released, no verdict
    * @param by the router that counts the tenant
-   * @param left requests that the limit still allows, as counted there
+   * @param left requests that the limit still allows, as counted there; 0 for a missing verdict
    */
   record TenantChanged(String tenant, String state, String by, double left) implements RouterEvent {
     @Override
--- a/arrowarch-core/src/main/java/io/arrowarch/core/hedge/ExtraAttemptBudget.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/hedge/ExtraAttemptBudget.java
@@ -19,7 +19,8 @@
   /**
    * Creates a full bucket.
    *
-   * @param fraction extra attempts allowed per first attempt
+   * @param fraction extra attempts allowed per first attempt; 0 forbids them, although the bucket
+   *     is full
    */
   public ExtraAttemptBudget(double fraction) {
     this.fraction = fraction;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/hedge/LatencyTracker.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/hedge/LatencyTracker.java
@@ -6,8 +6,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Latencies of successful attempts of one query kind over the last one to two windows. Histograms
- * hold microseconds.
+ * Latencies of successful attempts of one query kind over the last one to two windows. Windows
+ * rotate only when a latency is recorded, so that the values may be older after a pause in traffic.
+ * Histograms hold microseconds.
  */
 public final class LatencyTracker {
   private static final long WINDOW_NANOS = Duration.ofSeconds(5).toNanos();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/membership/MemberTable.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/membership/MemberTable.java
@@ -12,7 +12,7 @@
 final class MemberTable {
   /**
    * Dead members are kept this long: an outdated claim must not add them again as alive, and after
-   * a network partition heals, their addresses are pinged to find them.
+   * a network split heals, their addresses are pinged to find them.
    */
   private static final Duration DEAD_RETENTION = Duration.ofMinutes(10);
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/membership/Membership.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/membership/Membership.java
@@ -62,7 +62,10 @@
           Duration.ofMillis(1_500),
           Duration.ofMillis(3_000));
 
-  /** Every so many periods, one address that is not known to be reachable is pinged as well. */
+  /**
+   * One period in this many also pings an address that is not known to be reachable. Each period
+   * does while no router is reachable.
+   */
   private static final int PERIODS_PER_REJOIN_PING = 5;
 
   private final RouterClock clock;
@@ -94,7 +97,8 @@
    * Creates the membership view of one router.
    *
    * @param self the record of this router
-   * @param contacts peer addresses from the settings, through which the first members are found
+   * @param contacts peer addresses from the settings, through which the first members are found;
+   *     those not reachable are pinged again later, so that a network split heals
    */
   public Membership(
       MemberRecord self,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/MemberRecord.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/MemberRecord.java
@@ -10,7 +10,8 @@
  * @param address IP address and port for messages from other routers
  * @param cores processor capacity, in cores; 0 when unknown
  * @param incarnation rises with every restart
- * @param sequence raised by the router itself to refute a wrong claim about this incarnation
+ * @param sequence raised by the router itself to refute a wrong claim about this incarnation, or to
+ *     announce that it is leaving
  */
 public record MemberRecord(
     String id,
@@ -21,7 +22,10 @@
     long sequence,
     State state) {
 
-  /** Declared in order of precedence: among claims with the same sequence, the later overrides. */
+  /**
+   * Declared in order of precedence: of two claims with the same incarnation and sequence, the one
+   * whose state is declared later overrides.
+   */
   public enum State {
     /** Answers pings. */
     @JsonProperty("alive")
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerBody.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerBody.java
@@ -80,7 +80,7 @@
   /**
    * The usage of one tenant at one router.
    *
-   * @param total requests admitted since the start of the router
+   * @param total requests admitted and not refunded since the start of the router
    * @param unacknowledged how many of them no counting router has acknowledged
    */
   record Use(String tenant, long total, long unacknowledged) {}
@@ -88,7 +88,8 @@
   /**
    * Answers a {@link TenantUse}.
    *
-   * @param granted whether the request that was asked for may run
+   * @param granted whether the request that was asked about may run; also true if none was asked
+   *     about
    * @param retryAfterMillis after how long it would be within the limit, if it may not run
    * @param refusedMillis for how long every request of that tenant exceeds the limit
    * @param limits those of the reported tenants that are near their limits
@@ -132,7 +133,8 @@
    *
    * @param request hash that identifies the request when it is sent again
    * @param kind ends, quarantine or clearance
-   * @param servers that crashed while running it; at most as many as make it suspected
+   * @param servers that crashed while running it; as many as make it suspected, or a few more if
+   *     canaries crashed servers
    * @param ageMillis time since the newest of these crashes, or since the quarantine or clearance
    */
   record SuspectReport(String request, String kind, List<String> servers, long ageMillis) {
@@ -142,7 +144,8 @@
   }
 
   /**
-   * Asks for all that the receiver knows of suspected requests; answered by {@link SuspectNotice}.
+   * Asks for the suspected requests that the receiver knows, of which it reports a limited number;
+   * answered by {@link SuspectNotice}.
    */
   record SuspectQuestion() implements PeerBody {}
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/RequestKey.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/RequestKey.java
@@ -9,8 +9,9 @@
 import java.util.Optional;
 
 /**
- * Identifies equal requests: a cryptographic hash of the method, host, target, tenant and body. The
- * attempt id, the caller's address and other headers are not part of it.
+ * Equal requests have equal keys: a key is a cryptographic hash of the method, host, target, tenant
+ * and body: what reaches a server and may crash it. The attempt id, the caller's address and other
+ * headers are not part of it.
  *
  * @param text the hash as 32 hexadecimal digits
  */
@@ -27,7 +28,7 @@
 
   /**
    * Hashes a request. The length of each field is hashed before the field, so that different
-   * requests never yield the same input.
+   * requests never give the hash function the same input.
    *
    * @param host compared without regard to case
    * @param target path and query
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/ResponsibleRouters.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/ResponsibleRouters.java
@@ -33,7 +33,11 @@
     return peers.liveRouters().stream().noneMatch(router -> weight(key, router.id()) < own);
   }
 
-  /** Returns the peer addresses of the other routers that collect crashes for a request. */
+  /**
+   * Returns the peer addresses of the routers to which this one reports crashes of a request: the
+   * first two of the others. If this router is the first, it reports only to the next one. If it is
+   * the second, it reports to the first and the third.
+   */
   ImmutableList<String> others(RequestKey key) {
     int others = isSelf(key) ? COLLECTING_ROUTERS - 1 : COLLECTING_ROUTERS;
     return peers.liveRouters().stream()
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/Standing.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/Standing.java
@@ -6,9 +6,15 @@
 public enum Standing {
   /** It is sent to servers like any other. */
   FREE,
-  /** Several servers crashed while running it, none answered it: it needs a canary first. */
+  /**
+   * Several servers crashed while running it and none answered it, or its quarantine period is
+   * over: it needs a canary first.
+   */
   SUSPECTED,
-  /** It crashed the server that ran its canary: it is sent to no server. */
+  /**
+   * It crashed the server that ran its canary, or three canaries ended without a result: it is sent
+   * to no server.
+   */
   QUARANTINED;
 
   /** Returns the name in logs. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectGossip.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectGossip.java
@@ -26,12 +26,13 @@
  * peers, and each peer that did not know the change does the same, so that all routers learn of it
  * in a few rounds whatever the size of the fleet.
  *
- * <p>The first crashes under a request go only to the two routers that collect them: there are
- * hundreds of such reports when connections are reset.
+ * <p>The first crashes of servers that were running a request are reported only to the two routers
+ * that collect them: there are hundreds of such reports when connections are reset.
  *
  * <p>Reports that were lost, or were sent before a router started, are repaired: while a router
- * knows suspected requests, it regularly sends them all to random peers, and after its start it
- * asks peers for theirs.
+ * knows suspected requests, it regularly reports up to {@value #MAXIMUM_REPORTS_PER_SEND} of them
+ * to random peers, always the first ones that it recorded. After its start it asks peers for
+ * theirs.
  */
 final class SuspectGossip {
   /** With eight peers a change misses about one router in three thousand. */
@@ -41,8 +42,8 @@
   private static final Duration GOSSIP_DELAY = Duration.ofMillis(10);
 
   /**
-   * First crashes are reported late, because the answer of another part usually clears the request
-   * meanwhile.
+   * First crashes are reported after a delay, because an answer to another part of the same
+   * scatter-gather search usually clears the request within this time.
    */
   private static final Duration FIRST_CRASHES_DELAY = Duration.ofMillis(200);
 
@@ -63,6 +64,7 @@
   /** A report takes about 120 bytes; this many fit into a datagram. */
   private static final int REPORTS_PER_MESSAGE = 8;
 
+  /** Further requests are left out; those recorded first take precedence. */
   private static final int MAXIMUM_REPORTS_PER_SEND = 64;
 
   private final PeerGroup peers;
@@ -118,7 +120,10 @@
     }
   }
 
-  /** Schedules a report of the first crashes under a request to the routers that collect them. */
+  /**
+   * Schedules a report to the collecting routers of the first crashes of servers that were running
+   * a request, or of an answer that cleared such crashes.
+   */
   void reportFirstCrashLater(RequestKey key) {
     if (pendingFirstCrashes.isEmpty()) {
       timers.schedule(clock.nanoTime() + FIRST_CRASHES_DELAY.toNanos(), this::sendFirstCrashes);
@@ -126,7 +131,10 @@
     pendingFirstCrashes.add(key);
   }
 
-  /** Sends the reports about all suspected requests to a peer that asked for them. */
+  /**
+   * Sends reports about suspected requests, at most {@value #MAXIMUM_REPORTS_PER_SEND}, to a peer
+   * that asked for them.
+   */
   void answer(String address) {
     send(address, suspectedKeys.get());
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRecord.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRecord.java
@@ -13,15 +13,20 @@
  */
 final class SuspectRecord {
   /**
-   * For how long crashes under a request are ignored after an answer to it. Crashes that another
-   * request caused while this one was in flight may be reported late.
+   * For how long crashes of servers that were running a request are ignored after an answer to it.
+   * Crashes that another request caused while this one was in flight may be reported late. A
+   * request that is neither suspected nor quarantined is remembered for the same time after it was
+   * last seen.
    */
   private static final Duration CLEARANCE_PERIOD = Duration.ofSeconds(30);
 
-  /** Canaries with neither an answer nor a crash after which the request is quarantined. */
+  /** Number of canaries without an answer or a crash at which the request is quarantined. */
   private static final int MAXIMUM_INCONCLUSIVE_CANARIES = 3;
 
-  /** A reported quarantine that began within this time after the known one is the same one. */
+  /**
+   * A reported quarantine that began earlier than the known one, or less than this later, is
+   * ignored as already known.
+   */
   private static final long SAME_QUARANTINE_NANOS = Duration.ofSeconds(1).toNanos();
 
   private static final long NEVER = Long.MIN_VALUE;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRequests.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRequests.java
@@ -16,7 +16,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The requests that servers were running when they crashed, as reported by this router and others.
+ * The requests that servers were running when they recently crashed, as reported by this router and
+ * others.
  *
  * <p>Load patterns that it is built for:
  *
@@ -50,7 +51,7 @@
     REFUSE
   }
 
-  /** Creates a router's record of suspected requests, which is empty. */
+  /** Creates a tracker that knows no requests. */
   public SuspectRequests(
       String ownId,
       SuspectRules rules,
@@ -78,7 +79,7 @@
     gossip.start();
   }
 
-  /** Whether no crash is recorded for any request. Then requests need no key. */
+  /** Whether there is no record of any request. Then requests need no key. */
   public boolean isEmpty() {
     return records.isEmpty();
   }
@@ -113,8 +114,9 @@
   }
 
   /**
-   * Shortly after the crashes any router may run a canary, later only the responsible one: routers
-   * that have not heard of each other's canaries would send the request to several servers.
+   * Shortly after the crashes any router may run a canary, later only the responsible one:
+   * otherwise routers that have not heard of each other's canaries would send the request to
+   * several servers.
    */
   private boolean mayRunCanary(RequestKey key, SuspectRecord known, long nowNanos) {
     return !known.hasCanary() && (known.anyRouterMayRunCanary(nowNanos) || responsible.isSelf(key));
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRules.java
@@ -11,8 +11,9 @@
  *     only the responsible one may. Must end well before the time by which all routers must refuse
  *     a crashing request
  * @param quarantinePeriod how long a request is quarantined after it crashed the server of its
- *     canary
- * @param retentionPeriod how long a request that is not free is remembered after it was last seen
+ *     canary, or after three canaries without a result
+ * @param retentionPeriod how long a suspected or quarantined request is remembered after it was
+ *     last seen
  * @param maximumRequests maximum number of remembered requests; the one seen longest ago is evicted
  *     first
  */
@@ -23,10 +24,11 @@
     Duration retentionPeriod,
     int maximumRequests) {
   /**
-   * A request is suspected after three crashes. Servers restart within two seconds, so the canary
-   * period of 2.5 s lets any router clear a harmless request once they are back. All routers must
-   * refuse a crashing request four seconds after the third crash; more than one second of them is
-   * left for gossip and for requests in flight.
+   * A request is suspected after three crashes, the number that the users require. Servers restart
+   * within two seconds, so the canary period of 2.5 s lets any router clear a harmless request once
+   * they are back. The users also require that all routers refuse a crashing request four seconds
+   * after the third crash; more than one second of them is left for gossip and for requests in
+   * flight.
    */
   public static final SuspectRules DEFAULT =
       new SuspectRules(
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/Authenticator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/Authenticator.java
@@ -6,9 +6,9 @@
 
 /**
  * Identifies callers by their API keys, as far as this router's view of the tenants is recent
- * enough. With a view that may be out of date, a known key is not accepted where revocations are
- * strict, since it may have been revoked, and an unknown key is not rejected for good, since it may
- * be new.
+ * enough. If the view may be out of date, a known key is not accepted where revocations are strict,
+ * since it may have been revoked. An unknown key may be new, so the caller is told that the key
+ * could not be confirmed.
  */
 public final class Authenticator {
   private final RevocationRules rules;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/CountingRouters.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/CountingRouters.java
@@ -106,8 +106,9 @@
     return (double) reachable / largestFleet;
   }
 
-  /** Returns the part of the fleet that this router is by itself, from 0 to 1. */
+  /** Returns one router's share of the fleet, from 0 to 1. */
   double ownShare() {
+    // Updates largestFleet.
     double unused = share();
     return 1.0 / largestFleet;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/FallbackLimiter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/FallbackLimiter.java
@@ -5,9 +5,10 @@
 import java.util.function.Predicate;
 
 /**
- * Limits the tenants at this router alone while it reaches no counting router: each tenant gets
- * this router's part of what the limit allows within a window, but at least one request. The slack
- * of the limit rules covers these single requests.
+ * Limits the tenants at this router alone while it reaches no counting router: each tenant has a
+ * bucket that holds this router's part of what the limit allows within a window, but at least one
+ * request. The bucket starts full and refills over a window, so that up to twice the part may run
+ * within one window. The slack of the limit rules covers these single requests.
  */
 final class FallbackLimiter {
   private static final double ONE = 1;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/LimitRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/LimitRules.java
@@ -7,7 +7,7 @@
 /**
  * By how much the requests of a tenant that run at all routers together may exceed its limit.
  *
- * @param window the bound holds for every period of this length
+ * @param window length of the periods in each of which the excess is bounded
  * @param overshoot allowed excess, as a fraction of what the limit allows within a window
  * @param slack further requests that are allowed within a window
  */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/RevocationRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/RevocationRules.java
@@ -9,7 +9,7 @@
  *
  * @param strict whether a request is refused when this router cannot rule out that its key was
  *     revoked more than {@code bound} ago
- * @param bound time after the revocation of a key from which no request with it may run
+ * @param bound how long after the revocation of a key requests with it may still run
  */
 public record RevocationRules(boolean strict, Duration bound) {
   /**
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCount.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCount.java
@@ -10,14 +10,14 @@
  */
 final class TenantCount {
   /**
-   * Fraction of the tolerance for requests that are reported late. The rest is reserved for a
-   * change of the counting router.
+   * Fraction that is granted to requests that are reported late, of the tolerance less the requests
+   * of one second. The rest is reserved for a change of the counting router.
    */
   private static final double LATE_REPORT_FRACTION = 0.5;
 
   /**
-   * Fraction of the tolerance that a router grants when it starts to count, in addition to what an
-   * earlier counting router granted.
+   * Fraction of the tolerance for late reports that a router grants when it starts to count, in
+   * addition to what an earlier counting router granted.
    */
   private static final double INITIAL_FRACTION = 0.4;
 
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Charges what a router reports. A message that is older than an earlier one of the same
-   * incarnation is ignored.
+   * Charges what a router reports. A message is ignored unless its number is higher than that of
+   * the last one received from the same incarnation.
    *
    * @param number number of the message; it rises within an incarnation
    * @param total requests that ran at that router since its start
@@ -110,9 +110,9 @@
   }
 
   /**
-   * Returns after what delay a refused caller should retry. Each caller gets the time of one
-   * further request of the limit, so that they do not all retry at once. The delay is at most one
-   * window.
+   * Returns after what delay a refused caller should retry. Successive callers get delays that are
+   * one request interval (1 / rate) apart, so that they do not all retry at once. The delay is at
+   * most one window.
    */
   long reserveRetryDelayNanos(long nowNanos) {
     long first = nowNanos + refusedNanos(nowNanos);
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Whether routers must ask for each request. Once that is so, it stays so until half of the
-   * capacity is available again.
+   * Whether routers must ask the counting router about each request. Once that is so, it stays so
+   * until half of the capacity is available again.
    */
   boolean isNearLimit(long nowNanos) {
     double left = allowed.tokens(nowNanos);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCounter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantCounter.java
@@ -20,7 +20,10 @@
  * the others which of these tenants are near their limits.
  */
 final class TenantCounter {
-  /** For how long routers ask for each request of a tenant after it was near its limit. */
+  /**
+   * For how long routers ask the counting router about each request of a tenant after it was near
+   * its limit.
+   */
   static final Duration LEASE = Duration.ofSeconds(2);
 
   /** While the tenant is near its limit, the lease is renewed this often within its duration. */
@@ -39,7 +42,7 @@
   private final Map<String, TenantCount> counts = new HashMap<>();
   private final Map<String, Long> announcedNanos = new HashMap<>();
 
-  /** A decision on one request; the durations are those of a verdict. */
+  /** A decision on one request; the durations are as in {@link PeerBody.TenantVerdict}. */
   private record Decision(boolean granted, long retryAfterNanos, long refusedNanos) {
     private static final Decision GRANTED = new Decision(true, 0, 0);
   }
@@ -103,8 +106,8 @@
   }
 
   /**
-   * Decides on one request. It is granted if this router's configuration has no limit for the
-   * tenant, even if the asking router's has one.
+   * Decides on one request. The decision is also to grant if the message asks for no request, or if
+   * this router's configuration has no limit for the tenant, even if the asking router's has one.
    */
   private Decision decide(String router, String asks, long nowNanos) {
     Optional<TenantCount> asked = asks.isEmpty() ? Optional.empty() : countOf(asks, nowNanos);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimiter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimiter.java
@@ -64,8 +64,8 @@
   private static final long HIGHEST_FIRST_NUMBER = 1L << 40;
 
   /**
-   * Incarnation in reports to itself: its counts are lost when it stops, so that its incarnations
-   * need not be distinguished.
+   * The incarnation that a router gives in reports to itself. It can be constant because the
+   * router's counts are lost when it stops.
    */
   private static final long OWN_INCARNATION = 0;
 
@@ -99,7 +99,7 @@
   private record Message(
       CountingRouters.Candidate to, ImmutableList<PeerBody.Use> uses, Optional<Question> asks) {}
 
-  /** A request that a counting router is asked for. */
+  /** A request that a counting router is asked about. */
   private static final class Question implements PendingDecision {
     private final Tenant tenant;
     private final Consumer<LimitDecision> sink;
