--- a/arrowarch-core/src/main/java/io/arrowarch/core/error/ErrorKind.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/error/ErrorKind.java
@@ -5,9 +5,11 @@
 /**
  * All errors that a caller can see.
  *
- * <p>Each kind determines the HTTP status, whether the same request may be retried, and the
- * strongest claim about execution that always holds for the kind. An error that arises after an
- * attempt was written carries its own {@link Executed}, from the attempts of its query.
+ * <p>Each kind determines the HTTP status, whether the same request may be retried, and the claim
+ * about execution that an error makes when it is created without attempts. That claim is {@code
+ * UNKNOWN} for kinds that usually end a query with attempts, and for tickets whose earlier request
+ * may have run. An error that ends a query with attempts carries its own {@link Executed}, from the
+ * attempts of its query.
  */
 public enum ErrorKind {
   /** The request could not be parsed. */
@@ -26,9 +28,9 @@
   REQUEST_TIMEOUT(408, Executed.NO, true),
   /** A non-repeatable request carried no ticket; the answer contains one. */
   TICKET_REQUIRED(428, Executed.NO, true),
-  /** The ticket was issued by another node or by an earlier incarnation of this one. */
+  /** The ticket was issued by another router or by an earlier incarnation of this one. */
   TICKET_ELSEWHERE(421, Executed.UNKNOWN, false),
-  /** The number of the ticket is not above that of a redemption that this node has dropped. */
+  /** The number of the ticket is not above that of a redemption that this router has dropped. */
   TICKET_EXPIRED(410, Executed.UNKNOWN, false),
   /** The ticket has already been redeemed with another request. */
   TICKET_MISMATCH(409, Executed.NO, false),
@@ -36,11 +38,11 @@
   UNAUTHENTICATED(401, Executed.NO, false),
   /** The tenant has exceeded its limit over all routers. */
   LIMIT_EXCEEDED(429, Executed.NO, true),
-  /** The node is shutting down and accepts no new queries. */
+  /** The router is shutting down and accepts no new queries. */
   DRAINING(503, Executed.NO, true),
-  /** The node could not confirm that its configuration is current. */
+  /** The router could not confirm that its configuration is current. */
   NOT_CONFIRMED(503, Executed.NO, true),
-  /** The node holds no configuration yet. */
+  /** The router holds no configuration yet. */
   NO_CONFIGURATION(503, Executed.NO, true),
   /** Too many queries are in progress or waiting. */
   OVERLOADED(503, Executed.NO, true),
@@ -72,7 +74,7 @@
     return httpStatus;
   }
 
-  /** The strongest claim about execution that always holds for the kind. */
+  /** The claim about execution of an error of this kind that is created without attempts. */
   public Executed executed() {
     return executed;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/event/RouterEvent.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/event/RouterEvent.java
@@ -124,7 +124,8 @@
    * @param purpose first, hedge or retry
    * @param load estimated number of requests at the server
    * @param reportAgeMs age of the server's newest load report; -1 without one
-   * @param budgetLeft extra attempts that the budget of the service still allows
+   * @param budgetLeft extra attempts that the budget of the service still allows in the sliding
+   *     window that ends now; may be fractional or negative
    */
   record AttemptSent(
       String requestId,
@@ -306,7 +307,7 @@
   }
 
   /**
-   * A zone was evacuated, so that its servers get no requests, or may be used again.
+   * The servers of a zone get no requests from now on, or may be used again.
    *
    * @param state evacuated or returned
    */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/hedge/HedgePolicy.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/hedge/HedgePolicy.java
@@ -14,8 +14,8 @@
   boolean isBudgeted();
 
   /**
-   * The policy used in production: a multiple of a latency quantile. A few slow replies in a
-   * hundred do not change that quantile, so the delay does not grow when a few replies become slow.
+   * The policy used in production: a multiple of a latency quantile. Fewer than five slow replies
+   * in a hundred do not change it (the 0.95 quantile), so they do not delay hedges.
    */
   static HedgePolicy adaptive() {
     return new AdaptiveHedgePolicy();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/membership/GossipQueue.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/membership/GossipQueue.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Gossip to send: each item is sent a limited number of times, the least sent first. The limit
- * grows with the logarithm of the number of members.
+ * A queue of gossip items. Each item is sent a limited number of times; those sent least often go
+ * first. The limit grows with the logarithm of the number of members.
  *
  * @param <K> the subject of an item; a newer item replaces an older one of the same key
  * @param <T> the item
--- a/arrowarch-core/src/main/java/io/arrowarch/core/membership/Membership.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/membership/Membership.java
@@ -52,7 +52,7 @@
   private static final int DRAINS_PER_MESSAGE = 8;
 
   /**
-   * Times after its start at which a router asks one random router for its members again. When all
+   * Times since its start at which a router asks one random router for its members again. When all
    * routers start at once, the first that it asks know few members.
    */
   private static final ImmutableList<Duration> JOIN_RETRY_DELAYS =
@@ -183,7 +183,7 @@
     return id.equals(self.id()) ? Optional.of(self) : table.find(id);
   }
 
-  /** At most {@code size} random reachable members. */
+  /** At most {@code size} random reachable members, for example to push a new configuration to. */
   public ImmutableList<MemberRecord> sample(int size) {
     List<MemberRecord> shuffled = new ArrayList<>(reachable());
     shuffle(shuffled);
@@ -216,8 +216,8 @@
   /**
    * Handles an ack to a ping of this router, whether direct or through another router.
    *
-   * @return when the ping was sent, so that the contents of the ack are not older than this by this
-   *     router's monotonic clock, in nanoseconds; empty when the ping is no longer pending
+   * @return when the ping was sent, in nanoseconds of this router's monotonic clock; empty if the
+   *     ping is no longer pending. The contents of the ack are at least as new
    */
   public Optional<Long> onAck(PeerBody.Ack ack) {
     learnNews(ack.news());
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerGroup.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/PeerGroup.java
@@ -4,7 +4,10 @@
 
 /** Finds the other routers and sends messages to them. */
 public interface PeerGroup {
-  /** The other routers that are alive; the same list instance until one of them changes. */
+  /**
+   * The other routers in state alive, without those that are suspected, leaving or dead; the same
+   * list instance until a known router changes.
+   */
   ImmutableList<LiveRouter> liveRouters();
 
   /** Sends a message to the peer address of a router; it may be lost. */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/peer/StoreNews.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/peer/StoreNews.java
@@ -9,7 +9,7 @@
  * @param position the revision up to which the sender knows every change, deletions included
  * @param ageMillis the greatest possible age of the sender's view; {@link #NEVER} where the view
  *     has never been complete
- * @param configurationVersion of the configuration that the sender holds; 0 without one
+ * @param configurationVersion version of the configuration that the sender holds; 0 without one
  */
 public record StoreNews(
     StoreRevision newest, StoreRevision position, long ageMillis, long configurationVersion) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/selector/LabelSelector.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/selector/LabelSelector.java
@@ -15,8 +15,8 @@
   }
 
   /**
-   * Parses set-based terms separated by commas: {@code tier in (hot, warm), zone notin (z1), app =
-   * shop, app != shop, canary, !canary}.
+   * Parses terms separated by commas. The forms of a term are {@code tier in (hot, warm)}, {@code
+   * zone notin (z1)}, {@code app = shop}, {@code app != shop}, {@code canary} and {@code !canary}.
    *
    * @throws IllegalArgumentException when a term has none of these forms
    */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRules.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/suspect/SuspectRules.java
@@ -24,11 +24,10 @@
     Duration retentionPeriod,
     int maximumRequests) {
   /**
-   * A request is suspected after three crashes, the number that the users require. Servers restart
+   * A request is suspected after three crashes, as in the users' requirement. Servers restart
    * within two seconds, so the canary period of 2.5 s lets any router clear a harmless request once
-   * they are back. The users also require that all routers refuse a crashing request four seconds
-   * after the third crash; more than one second of them is left for gossip and for requests in
-   * flight.
+   * they are back. The users require that all routers refuse a crashing request four seconds after
+   * the third crash; more than one second of them is left for gossip and for requests in flight.
    */
   public static final SuspectRules DEFAULT =
       new SuspectRules(
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimiter.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantLimiter.java
@@ -64,7 +64,7 @@
   private static final long HIGHEST_FIRST_NUMBER = 1L << 40;
 
   /**
-   * The incarnation that a router gives in reports to itself. It can be constant because the
+   * The incarnation that this router gives in reports to itself. It can be constant because the
    * router's counts are lost when it stops.
    */
   private static final long OWN_INCARNATION = 0;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantUsage.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/tenant/TenantUsage.java
@@ -54,7 +54,10 @@
     return nowNanos < askUntilNanos;
   }
 
-  /** Returns the nanoseconds for which every request is refused; 0 if requests may be asked for. */
+  /**
+   * Returns the nanoseconds for which every request is refused; 0 if the counting router may be
+   * asked about requests.
+   */
   long refusedNanos(long nowNanos) {
     return Math.max(0, refusedUntilNanos - nowNanos);
   }
