--- a/arrowarch-core/src/main/java/io/arrowarch/core/forward/ShardGroups.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/forward/ShardGroups.java
@@ -29,7 +29,8 @@
   }
 
   /** Ranks the routers for a group, the most suitable one first: by cores, then by hash. */
-  static ImmutableList<LiveRouter> ranked(ImmutableList<String> group, List<LiveRouter> routers) {
+  static ImmutableList<LiveRouter> ranked(
+      ImmutableList<String> group, List<LiveRouter> routers) {
     return routers.stream()
         .sorted(
             Comparator.comparingDouble(LiveRouter::cores)
