--- a/arrowarch-core/src/main/java/io/arrowarch/core/membership/Membership.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/membership/Membership.java
@@ -52,7 +52,7 @@
   private static final int DRAINS_PER_MESSAGE = 8;
 
   /**
-   * Times after its start at which a router asks one random router for its members again. When all
+   * Times since its start at which a router asks one random router for its members again. When all
    * routers start at once, the first that it asks know few members.
    */
   private static final ImmutableList<Duration> JOIN_RETRY_DELAYS =
@@ -62,7 +62,10 @@
           Duration.ofMillis(1_500),
           Duration.ofMillis(3_000));
 
-  /** Every so many periods, one address that is not known to be reachable is pinged as well. */
+  /**
+   * One period in this many also pings an address that is not known to be reachable. Each period
+   * does while no router is reachable.
+   */
   private static final int PERIODS_PER_REJOIN_PING = 5;
 
   private final RouterClock clock;
@@ -94,7 +97,8 @@
    * Creates the membership view of one router.
    *
    * @param self the record of this router
-   * @param contacts peer addresses from the settings, through which the first members are found
+   * @param contacts peer addresses from the settings, through which the first members are found;
+   *     those not reachable are pinged again later, so that a network split heals
    */
   public Membership(
       MemberRecord self,
@@ -179,7 +183,7 @@
     return id.equals(self.id()) ? Optional.of(self) : table.find(id);
   }
 
-  /** At most {@code size} random reachable members. */
+  /** At most {@code size} random reachable members, for example to push a new configuration to. */
   public ImmutableList<MemberRecord> sample(int size) {
     List<MemberRecord> shuffled = new ArrayList<>(reachable());
     shuffle(shuffled);
@@ -212,8 +216,8 @@
   /**
    * Handles an ack to a ping of this router, whether direct or through another router.
    *
-   * @return when the ping was sent, so that the contents of the ack are not older than this by this
-   *     router's monotonic clock, in nanoseconds; empty when the ping is no longer pending
+   * @return when the ping was sent, in nanoseconds of this router's monotonic clock; empty if the
+   *     ping is no longer pending. The contents of the ack are at least as new
    */
   public Optional<Long> onAck(PeerBody.Ack ack) {
     learnNews(ack.news());
