--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationDocument.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationDocument.java
@@ -44,7 +44,8 @@
   /**
    * A division of data into shards.
    *
-   * @param generation must be increased whenever the set of shards or their shares change
+   * @param generation must be increased whenever the shards, their shares or their order change,
+   *     because the order determines the key ranges
    */
   public record LayoutSpec(String name, int generation, List<ShardSpec> shards) {
     public LayoutSpec {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationId.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationId.java
@@ -10,7 +10,7 @@
  * @param digest see {@link ConfigurationCodec#digest}; empty when the version is 0
  */
 public record ConfigurationId(long version, String digest) {
-  /** The id of a node that has no configuration yet. */
+  /** Stands for no configuration. */
   public static final ConfigurationId NONE = new ConfigurationId(0, "");
 
   public ConfigurationId {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationSuccession.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationSuccession.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Checks that a document may replace another one. Operators run it before they publish one. */
+/**
+ * Checks that a document may replace another one. Operators run this check before they publish a
+ * document.
+ */
 public final class ConfigurationSuccession {
   private static final int MAXIMUM_VOTER_CHANGES = 1;
 
@@ -46,7 +49,10 @@
     }
   }
 
-  /** Majorities of two voter sets have a voter in common only if the sets differ by at most one. */
+  /**
+   * Majorities of two voter sets are sure to have a voter in common if the sets differ by at most
+   * one voter.
+   */
   private static void checkVoters(
       ConfigurationDocument previous,
       ConfigurationDocument next,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/SchemaReader.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/SchemaReader.java
@@ -22,7 +22,10 @@
 import java.io.UncheckedIOException;
 import java.util.Comparator;
 
-/** Reads documents, validates them against a JSON schema and reports all faults. Thread-safe. */
+/**
+ * Reads documents and validates them against a JSON schema. Reports every violation of the schema
+ * with its path; a syntax error is reported as one fault at {@code $}. Thread-safe.
+ */
 public final class SchemaReader {
   static final JsonMapper JSON =
       JsonMapper.builder()
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/AdmissionControl.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/AdmissionControl.java
@@ -2,9 +2,12 @@
 
 import io.arrowarch.core.replica.ReplicaState;
 
-/** Refuses queries that would wait too long for room at back ends, before any attempt is sent. */
+/**
+ * Refuses queries before any attempt is sent: those that would wait too long for room at back ends,
+ * and those that arrive while too many queries are in progress.
+ */
 final class AdmissionControl {
-  /** The largest part of the time left that a query may be expected to wait in queues. */
+  /** Fraction of its remaining time that a query may wait in queues, by the estimate. */
   private static final double MAXIMUM_WAIT_FRACTION = 0.4;
 
   private static final double MEDIAN = 0.5;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptDispatcher.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptDispatcher.java
@@ -20,9 +20,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Starts attempts, matches replies and failures to them, and ends them. An attempt is registered
- * from its start until its outcome is known or it is cancelled. A reply or failure of an attempt
- * that is not registered is dropped.
+ * Starts and cancels attempts, and routes each reply or failure to its attempt. An attempt is
+ * registered from its start until its outcome is known or it is cancelled. A reply or failure of an
+ * attempt that is not registered is dropped.
  */
 final class AttemptDispatcher {
   private static final long MINIMUM_DEADLINE_MILLIS = 1;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptFailure.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/AttemptFailure.java
@@ -6,9 +6,9 @@
   UNREACHABLE(false),
   /** Nothing was written, because {@link QueryCoordinator#mayWrite} returned false. */
   NOT_WRITTEN(false),
-  /** The connection broke after writing began. */
+  /** The connection broke after writing began, possibly within the reply. */
   CONNECTION_LOST(true),
-  /** The reply was truncated or malformed, or named another attempt. */
+  /** The reply was malformed or too long, or named another attempt. */
   GARBLED_REPLY(true);
 
   private final boolean mayHaveRun;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryAnswer.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryAnswer.java
@@ -23,7 +23,7 @@
     ImmutableList<SearchHit> hits,
     Optional<JsonNode> document) {
 
-  /** The same answer with the request id of a resent request. */
+  /** The same answer with the request id of a duplicate request. */
   public QueryAnswer withRequestId(String resendId) {
     return new QueryAnswer(resendId, kind, layout, snapshot, coverage, hits, document);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryCoordinator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryCoordinator.java
@@ -19,8 +19,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Runs the queries of one router. Not thread-safe: the owner makes all calls on one thread or
- * serialises them, together with the callbacks of this class.
+ * Runs the queries of one router. Not thread-safe: the owner must serialise all calls and the
+ * timers. Sinks are called on the same thread.
  */
 public final class QueryCoordinator {
   private final RouterClock clock;
@@ -35,7 +35,8 @@
   /**
    * Creates a coordinator without a configuration.
    *
-   * @param maximumQueries queries in progress above which new ones are refused
+   * @param maximumQueries a query that brings the number in progress to this value is refused, so
+   *     at most one fewer run
    */
   public QueryCoordinator(
       NodeIdentity identity,
@@ -74,7 +75,7 @@
     return planner.configuration();
   }
 
-  /** The back ends that the selectors choose for a kind now; for status pages. */
+  /** The back ends that the rules of a kind select now. */
   public Selection select(QueryKind kind) {
     return planner.select(kind, clock.wallTime());
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
@@ -215,6 +215,7 @@
     return afterShed ? kindState.budget().tryWithdrawAfterShed() : kindState.budget().tryWithdraw();
   }
 
+  /** Retries a shard after a backoff that doubles with each attempt, with jitter. */
   private void retryAfterBackoff(ShardProgress progress, long nowNanos) {
     long backoffNanos = RETRY_BACKOFF.toNanos() << progress.attempts();
     long delayNanos = dispatcher.jitter(backoffNanos);
@@ -230,8 +231,9 @@
   }
 
   /**
-   * Restarts the query with a new plan, on a snapshot that replicas still hold. Returns false if
-   * the query is finished, has no replan left or is past its deadline.
+   * Restarts the query with a new plan, on a snapshot that replicas last reported. They may have
+   * dropped it since; the number of replans is therefore limited. Returns false if the query is
+   * finished, has no replan left or is past its deadline.
    */
   private boolean replan(long nowNanos) {
     if (finished || replans >= MAXIMUM_REPLANS || nowNanos >= deadlineNanos) {
@@ -300,7 +302,8 @@
 
   /**
    * Ends the query with an error as soon as the lost shards make the kind's minimum coverage
-   * unreachable. Returns whether the query is finished.
+   * unreachable, or when no shard can answer, even if the minimum coverage is 0. Returns whether
+   * the query is finished.
    */
   private boolean failIfCoverageUnreachable() {
     if (finished) {
@@ -377,7 +380,11 @@
     sink.accept(outcome);
   }
 
-  /** Settles every shard before cancelling attempts, so that the room goes to other queries. */
+  /**
+   * Settles every shard, then cancels its attempts. In this order, the room freed by the cancelled
+   * attempts goes to other queries and not to shards of this one. Attempts without an outcome are
+   * recorded as possible runs.
+   */
   private void abandonPlan() {
     plan.shards().forEach(ShardProgress::onLost);
     for (ShardProgress progress : plan.shards()) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryPlanner.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryPlanner.java
@@ -42,7 +42,7 @@
     return configuration;
   }
 
-  /** The back ends that the selectors choose for a kind in this minute. */
+  /** The back ends that the rules of a kind select in this minute. */
   Selection select(QueryKind kind, Instant wallTime) {
     long epochMinute = Math.floorDiv(wallTime.getEpochSecond(), SECONDS_PER_MINUTE);
     CachedSelection cached = selections.get(kind.name());
@@ -54,7 +54,10 @@
     return cached.selection();
   }
 
-  /** Plans a query with the kind and selection of its admission, also when it is a replan. */
+  /**
+   * Plans or replans a query. A replan uses the kind and the selection with which the query was
+   * admitted.
+   */
   QueryPlan plan(QueryExecution execution, Selection selection, long nowNanos) {
     QueryKind kind = execution.kind();
     ImmutableListMultimap<String, ReplicaState> usable = usableReplicas(selection, nowNanos);
@@ -104,7 +107,10 @@
     return new ShardProgress(execution, shard, candidates);
   }
 
-  /** False without a snapshot: in an unpinned search, shards could answer from different ones. */
+  /**
+   * Whether a replica holds the snapshot of a search. Without a snapshot no replica does, because
+   * the shards of an unpinned search could answer from different snapshots.
+   */
   private static boolean holds(ReplicaState replica, QueryKind kind, Optional<Long> snapshot) {
     return snapshot.isPresent() && SnapshotChooser.holds(replica, kind.layout(), snapshot.get());
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/SnapshotChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/SnapshotChooser.java
@@ -13,8 +13,8 @@
   private SnapshotChooser() {}
 
   /**
-   * The snapshot that the usable replicas hold for the largest share of the layout; the newest of
-   * several with that share. Empty when no replica reports a snapshot.
+   * The snapshot for which usable replicas cover the largest share of the data. Of several such
+   * snapshots, the newest is chosen. Empty when no replica reports a snapshot.
    */
   static Optional<Long> choose(Layout layout, ListMultimap<String, ReplicaState> usable) {
     TreeSet<Long> reported = new TreeSet<>();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/WaitingShards.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/WaitingShards.java
@@ -12,8 +12,8 @@
   private final Map<String, ArrayDeque<ShardProgress>> queues = new HashMap<>();
 
   /**
-   * Queues a shard at the replicas that may take it once they have room. With a replica that may
-   * not take it, the caller would poll the shard and queue it there again without end.
+   * Queues a shard until one of its replicas has room. Only eligible replicas may be given: at
+   * another one, the caller would poll the shard and queue it again without end.
    */
   void add(ShardProgress progress, List<ReplicaState> eligible, AttemptPurpose purpose) {
     progress.onQueued(purpose);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
@@ -28,7 +28,7 @@
  * lease is extended when a majority of the voting group of its zone reports, within one round, that
  * it holds nothing newer; it ends {@link #LEASE} after that round started. The two majorities have
  * a voter in common. Therefore, {@link #LEASE} after a configuration was accepted, each node that
- * still serves has it in force.
+ * still serves has it or a later one in force.
  */
 public final class ConfigurationAgreement implements ServingPermit {
   /** How long a node may serve after the start of a round that a majority confirmed. */
@@ -53,6 +53,8 @@
   private long nextRoundNumber = 1;
   private long leaseEndNanos = Long.MIN_VALUE;
   private boolean superseded;
+
+  /** A document that a majority of the own group holds and that conflicts with the one in force. */
   private Optional<ConfigurationId> majorityConflict = Optional.empty();
 
   /**
@@ -130,8 +132,8 @@
   }
 
   /**
-   * Handles the platform's list of machines. A voter that recovers needs it when too many other
-   * voters are lost to form a majority.
+   * Handles the platform's list of machines. A recovering voter needs it when so many other voters
+   * are lost that no majority can reply.
    */
   public void onMachineList(MachineList list) {
     if (groups != null) {
@@ -183,9 +185,10 @@
   }
 
   /**
-   * Handles a voter's reply. One that is meant for an earlier incarnation of this node is ignored.
-   * One that is late, belongs to another round or comes from an outdated incarnation of the voter
-   * does not count in the round; only the incarnations that it reports are recorded.
+   * Handles a voter's reply. Ignores a reply to an earlier incarnation of this node. A reply that
+   * is late, belongs to another round or comes from an outdated incarnation of the voter is not
+   * counted in the round. The incarnations of the sender and of the voters that it reports are
+   * recorded in any case, and so is its report that this node is superseded.
    */
   public void onConfirmReply(MemberRecord sender, PeerBody.ConfirmReply reply) {
     if (reply.askerIncarnation() != membership.self().incarnation()) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationStore.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationStore.java
@@ -19,7 +19,7 @@
   private Optional<RefusedConfiguration> refused = Optional.empty();
 
   /**
-   * The newest document that was refused.
+   * The document that was refused last.
    *
    * @param version the version of the document; 0 when it could not be read
    */
@@ -50,7 +50,7 @@
     return accepted;
   }
 
-  /** The newest refused document; empty when a later one was applied. */
+  /** The document that was refused last; empty when a later one was applied. */
   public Optional<RefusedConfiguration> refused() {
     return refused;
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VoterRecovery.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VoterRecovery.java
@@ -10,11 +10,12 @@
  * incarnation must therefore first learn of every configuration that its earlier ones may have
  * helped to accept.
  *
- * <p>A voter recovers when a majority of its group, not counting itself, has replied in one round.
- * Those members have then also recorded the new incarnation and refuse older ones. Where no such
- * majority exists (the first start of a fleet, or several members lost at once), each other member
- * must have either replied or been missing from the platform's list for {@link #GONE_AFTER}. In
- * both cases, the voter must have in force the newest configuration that any member reported.
+ * <p>A voter recovers, at the earliest after {@link #MINIMUM_RECOVERY_TIME}, when other voting
+ * members that form a majority of the whole group have replied in one round. Those members have
+ * then also recorded the new incarnation and refuse older ones. Where no such majority exists (the
+ * first start of a fleet, or several members lost at once), each other member must have either
+ * replied or been missing from the platform's list for {@link #GONE_AFTER}. In both cases, the
+ * voter must have in force the newest configuration that any member reported.
  */
 final class VoterRecovery {
   /**
@@ -23,7 +24,10 @@
    */
   static final Duration MINIMUM_RECOVERY_TIME = Duration.ofSeconds(1);
 
-  /** How long a voter must be missing from the platform's list before it counts as gone. */
+  /**
+   * How long a voter must be missing from the platform's list before it counts as gone. A voter
+   * that replied in the round never counts as gone.
+   */
   static final Duration GONE_AFTER = Duration.ofSeconds(10);
 
   private final String nodeId;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/ConcurrencyLimit.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/ConcurrencyLimit.java
@@ -2,8 +2,8 @@
 
 /**
  * How many attempts this router may keep in flight at one back end, from 1 to a maximum. The limit
- * follows additive increase, multiplicative decrease: it rises on a success while it is fully used,
- * and falls when the back end sheds load.
+ * starts at the maximum and follows additive increase, multiplicative decrease: it rises on a
+ * success while it is fully used, and falls when the back end sheds load.
  */
 final class ConcurrencyLimit {
   private static final double DECREASE_FACTOR = 0.7;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaChooser.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaChooser.java
@@ -7,9 +7,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses a replica for an attempt: the less loaded of two random ones, by {@link
- * ReplicaState#load}. Replicas with room in the router's own zone are preferred; if there are none,
- * all replicas with room are considered.
+ * Chooses a replica for an attempt: the less loaded of two random ones (power of two choices), by
+ * {@link ReplicaState#load}. Replicas with room in the router's own zone are preferred; if there
+ * are none, all replicas with room are considered.
  */
 public final class ReplicaChooser {
   private final String zone;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaState.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaState.java
@@ -25,7 +25,10 @@
   private Optional<BackendReport> report = Optional.empty();
   private boolean listedAsLeaving;
 
-  /** The incarnation that the platform's list marks as leaving; the list itself names none. */
+  /**
+   * The incarnation to which the leaving mark of the platform's list applies. The list does not
+   * name incarnations.
+   */
   private Optional<String> leavingIncarnation = Optional.empty();
 
   private long lastHeardNanos;
@@ -100,7 +103,10 @@
         .orElse(ImmutableSet.of());
   }
 
-  /** Whether the current incarnation has been marked as draining, by itself or by a peer. */
+  /**
+   * Whether the current incarnation has been marked as draining, by itself or through another
+   * router.
+   */
   public boolean isDraining() {
     return report.map(latest -> drainingIncarnations.contains(latest.incarnation())).orElse(false);
   }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaTable.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/replica/ReplicaTable.java
@@ -17,7 +17,10 @@
 public final class ReplicaTable {
   private final Map<String, ReplicaState> replicas = new LinkedHashMap<>();
 
-  /** Drain marks from peers for back ends that are not in the configuration. */
+  /**
+   * Drain marks from peers for back ends that are not in the configuration. They are kept without a
+   * time limit and applied when a later configuration names the back end.
+   */
   private final Map<String, Set<String>> pendingDrainMarks = new HashMap<>();
 
   private final BiConsumer<String, String> onNewDrainMark;
@@ -34,7 +37,7 @@
 
   /**
    * Applies the back ends of a configuration. Those that remain at the same address keep their
-   * state.
+   * state, except that a changed maximum of attempts in flight resets the concurrency limit to it.
    *
    * @param routers how many routers share the connections of each back end
    */
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/QueryService.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/QueryService.java
@@ -25,8 +25,10 @@
 import java.util.stream.Stream;
 
 /**
- * Receives queries and passes them to the coordinator. Refuses them during a planned stop, holds
- * them until this node has a lease, and runs each non-repeatable request once per ticket.
+ * Receives queries and passes them to the coordinator. Refuses them in the second step of a planned
+ * stop. Holds them until this router has a lease, for at most {@link #MAXIMUM_CONFIRMATION_WAIT}.
+ * Runs each non-repeatable request at most once per ticket; a request that is proven not to have
+ * run may run again on its ticket.
  */
 final class QueryService {
   /**
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterCore.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterCore.java
@@ -46,7 +46,7 @@
   /** Number of routers in a zone above which each polls at a longer interval. */
   private static final int ROUTERS_AT_FULL_POLL_RATE = 3;
 
-  /** Routers with the JSON interface do not report their processor cores. */
+  /** Routers that run this class do not report their processor cores. */
   private static final double UNKNOWN_CORES = 0;
 
   private final RouterOptions options;
@@ -202,7 +202,10 @@
     return service.pending();
   }
 
-  /** Whether queries are served now: a lease, a configuration, and no planned stop. */
+  /**
+   * Whether callers should send queries here: there is a lease, a configuration and no planned
+   * stop. During the first step of a planned stop, queries are still served.
+   */
   public boolean isReady() {
     return !service.isLeaving()
         && agreement.isConfirmed(clock.nanoTime())
@@ -237,7 +240,7 @@
     timers.runDue(clock.nanoTime());
   }
 
-  /** When {@link #runTimers} must be called next, on the clock's {@code nanoTime}. */
+  /** When {@link #runTimers} should be called next, on the clock's {@code nanoTime}. */
   public OptionalLong nextTimerNanos() {
     return timers.nextDueNanos();
   }
@@ -293,7 +296,8 @@
 
   /**
    * Polls the platform and schedules the next poll. Above {@link #ROUTERS_AT_FULL_POLL_RATE}
-   * routers the interval grows with their number, so that the load from a zone does not.
+   * routers the interval grows with their number, so that the total poll rate of a zone stays the
+   * same.
    */
   private void pollPlatform() {
     transports.platform().fetchConfiguration();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterOptions.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterOptions.java
@@ -8,8 +8,10 @@
  * The options of a router core.
  *
  * @param peerAddress address at which other routers reach this one
- * @param contacts addresses of other routers to contact at the start
- * @param maximumQueries limit of queries in progress; further ones are refused
+ * @param contacts addresses of other routers to contact at the start, and later while they are not
+ *     reachable
+ * @param maximumQueries a query that brings the number in progress to this value is refused, so at
+ *     most one fewer run
  */
 public record RouterOptions(
     NodeIdentity identity,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterStatus.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterStatus.java
@@ -12,8 +12,9 @@
  *
  * @param state {@code serving}, {@code unconfirmed}, {@code superseded} or {@code draining}
  * @param inForce the configuration used to plan queries
- * @param accepted the newest configuration known to be held by a majority of every voting group
- * @param refused the newest document that was refused, with its faults
+ * @param accepted the newest configuration of which it is known that a majority of every voting
+ *     group holds it or a later one
+ * @param refused the document that was refused last, with its faults
  * @param voting whether this router counts as a voter
  * @param leaseLeftMillis how long this router may serve without another confirmation
  * @param queriesInProgress queries received and not yet answered
@@ -37,8 +38,9 @@
    *
    * @param reason why it is sent no new work; empty when it is eligible
    * @param inFlight attempts of this router in progress there
-   * @param limit most attempts that this router may have in progress there
-   * @param reasonsByKind by query kind, why its rules exclude this back end, or {@code eligible}
+   * @param limit maximum number of attempts that this router may have in progress there
+   * @param reasonsByKind by query kind, why its rules exclude this back end, or {@code eligible};
+   *     without the kinds of whose layout the back end holds no shard
    */
   public record BackendStatus(
       String id,
--- a/arrowarch-core/src/main/java/io/arrowarch/core/topology/Configuration.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/topology/Configuration.java
@@ -83,7 +83,7 @@
    * Decides which back ends may serve a kind.
    *
    * @param routerZone the zone of the router that selects
-   * @param wallTime the time at which the windows of rules must be open
+   * @param wallTime the time for which the windows of rules are evaluated
    */
   public Selection select(QueryKind kind, String routerZone, Instant wallTime) {
     return Selection.of(kind, backendsByLayout.get(kind.layout().name()), routerZone, wallTime);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/topology/Layout.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/topology/Layout.java
@@ -50,6 +50,7 @@
         return shard;
       }
     }
+    // The sum of the shares may be slightly below 1.
     return shards.get(shards.size() - 1);
   }
 }
--- a/arrowarch-core/src/main/java/io/arrowarch/core/wire/BackendRequest.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/wire/BackendRequest.java
@@ -8,7 +8,7 @@
  * One attempt as it is sent to a back end.
  *
  * @param attempt unique across all routers and their incarnations; the reply must repeat it
- * @param kind the query kind
+ * @param kind name of the query kind
  * @param layout layout id, {@code name/generation}
  * @param shard shard name
  * @param snapshot the index snapshot to answer from; if empty, the back end uses its newest
--- a/arrowarch-core/src/main/java/io/arrowarch/core/wire/MachineList.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/wire/MachineList.java
@@ -14,7 +14,7 @@
    * One machine.
    *
    * @param id the id of its router or back end
-   * @param address IP number and port of its process
+   * @param address IP address and port of its process
    */
   public record Machine(String id, Role role, String address, State state) {}
 
--- a/arrowarch-core/src/main/java/io/arrowarch/core/wire/WireCodec.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/wire/WireCodec.java
@@ -31,7 +31,10 @@
     }
   }
 
-  /** Decodes a message. Fails when the bytes are not exactly one message of this type. */
+  /**
+   * Decodes a message. Returns a failure when the bytes are not exactly one message of this type.
+   * Unknown properties are ignored, so that messages from other versions can be read.
+   */
   public static <T> Try<T> decode(byte[] bytes, Class<T> type) {
     return Try.of(() -> requireMessage(MAPPER.readValue(bytes, type)));
   }
