--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationDocument.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationDocument.java
@@ -33,7 +33,8 @@
   /**
    * A zone.
    *
-   * @param voters ids of the routers of the zone, which vote on configurations
+   * @param voters ids of all routers of the zone. They vote on configurations, and the connections
+   *     of back ends are divided among them
    */
   public record ZoneSpec(String name, String region, List<String> voters) {
     public ZoneSpec {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationValidator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationValidator.java
@@ -171,6 +171,7 @@
     }
   }
 
+  /** Parses numbers without a check, because the schema admits only digits, dots and a port. */
   private static boolean isSocketAddress(String address) {
     int colon = address.indexOf(':');
     int port = Integer.parseInt(address.substring(colon + 1));
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
@@ -182,6 +182,7 @@
         && reply.shard().equals(attempt.progress().shard().name());
   }
 
+  /** Handles a request that was not run. A reply without a reason counts as shed load. */
   private AttemptResult onNotRun(ShardProgress progress, BackendReply reply, long nowNanos) {
     NotRunReason reason = reply.reason().orElse(NotRunReason.SHED);
     if (reason == NotRunReason.SNAPSHOT_GONE && replan(nowNanos)) {
@@ -215,7 +216,10 @@
     return afterShed ? kindState.budget().tryWithdrawAfterShed() : kindState.budget().tryWithdraw();
   }
 
-  /** Retries a shard after a backoff that doubles with each attempt, with jitter. */
+  /**
+   * Retries a shard after a backoff: {@link #RETRY_BACKOFF}, doubled for each attempt so far, less
+   * a jitter of up to half.
+   */
   private void retryAfterBackoff(ShardProgress progress, long nowNanos) {
     long backoffNanos = RETRY_BACKOFF.toNanos() << progress.attempts();
     long delayNanos = dispatcher.jitter(backoffNanos);
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
@@ -188,7 +188,7 @@
    * Handles a voter's reply. Ignores a reply to an earlier incarnation of this node. A reply that
    * is late, belongs to another round or comes from an outdated incarnation of the voter is not
    * counted in the round. The incarnations of the sender and of the voters that it reports are
-   * recorded in any case, and so is its report that this node is superseded.
+   * recorded even then, and so is its report that this node is superseded.
    */
   public void onConfirmReply(MemberRecord sender, PeerBody.ConfirmReply reply) {
     if (reply.askerIncarnation() != membership.self().incarnation()) {
@@ -260,6 +260,7 @@
     }
   }
 
+  /** Requests the document of a sender if it conflicts with the own one and a majority holds it. */
   private void findMajorityConflict(MemberRecord sender, ConfigurationId held) {
     if (held.conflictsWith(store.inForceId())
         && round.hasMajority(groups.groupOfZone(zone), held::equals)) {
@@ -268,6 +269,10 @@
     }
   }
 
+  /**
+   * Offers a document. One that a majority of the own group holds may replace a different document
+   * with the same version; any other is offered as usual.
+   */
   private ConfigurationStore.OfferResult offerIfMajority(String json) {
     boolean isFromMajority =
         ConfigurationCodec.fromJson(json)
--- a/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterStatus.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/router/RouterStatus.java
@@ -10,7 +10,8 @@
 /**
  * The state of a router, for operators.
  *
- * @param state {@code serving}, {@code unconfirmed}, {@code superseded} or {@code draining}
+ * @param state {@code serving}, {@code unconfirmed}, {@code superseded} or {@code draining}; {@code
+ *     draining} from the first step of a planned stop
  * @param inForce the configuration used to plan queries
  * @param accepted the newest configuration of which it is known that a majority of every voting
  *     group holds it or a later one
--- a/arrowarch-core/src/main/java/io/arrowarch/core/wire/BackendReply.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/wire/BackendReply.java
@@ -11,7 +11,8 @@
  *
  * @param attempt id of the attempt that this reply answers
  * @param snapshot the index snapshot from which the result was read
- * @param reason why the attempt was not run; empty otherwise
+ * @param reason why the attempt was not run; empty otherwise. If it is missing for an attempt that
+ *     was not run, the router assumes {@link NotRunReason#SHED}
  * @param hits search results; empty for other operations
  * @param document the fetched document, or the receipt of a post
  * @param report the state of the back end
