--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryCoordinator.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryCoordinator.java
@@ -20,7 +20,7 @@
 
 /**
  * Runs the queries of one router. Not thread-safe: the owner must serialise all calls and the
- * timers. Sinks are called on the same thread.
+ * timers. Sinks are called from within them.
  */
 public final class QueryCoordinator {
   private final RouterClock clock;
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationAgreement.java
@@ -21,17 +21,17 @@
 
 /**
  * Distributes configurations among routers, decides when one is accepted, and holds the lease that
- * permits this node to serve queries.
+ * permits this router to serve queries.
  *
  * <p>A configuration is accepted when, within one round, a majority of every voting group reports
- * that it holds this configuration or a later one. A node serves only while its lease is valid. The
- * lease is extended when a majority of the voting group of its zone reports, within one round, that
- * it holds nothing newer; it ends {@link #LEASE} after that round started. The two majorities have
- * a voter in common. Therefore, {@link #LEASE} after a configuration was accepted, each node that
- * still serves has it or a later one in force.
+ * that it holds this configuration or a later one. A router serves only while its lease is valid.
+ * The lease is extended when a majority of the voting group of its zone reports, within one round,
+ * that it holds nothing newer; it ends {@link #LEASE} after that round started. The two majorities
+ * have a voter in common. Therefore, {@link #LEASE} after a configuration was accepted, each router
+ * that still serves has it or a later one in force.
  */
 public final class ConfigurationAgreement implements ServingPermit {
-  /** How long a node may serve after the start of a round that a majority confirmed. */
+  /** How long a router may serve after the start of a round that a majority confirmed. */
   public static final Duration LEASE = Duration.ofSeconds(3);
 
   private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
@@ -58,7 +58,7 @@
   private Optional<ConfigurationId> majorityConflict = Optional.empty();
 
   /**
-   * Creates the agreement of one node, without a configuration.
+   * Creates the agreement of one router, without a configuration.
    *
    * @param onApplied called with each configuration that comes into force
    * @param onConfirmed called whenever the lease is extended
@@ -84,17 +84,17 @@
     runRounds();
   }
 
-  /** The configurations that this node has in force, knows as accepted, and refused last. */
+  /** The configurations that this router has in force, knows as accepted, and refused last. */
   public ConfigurationStore store() {
     return store;
   }
 
-  /** Whether this node votes; a restarted node does so only after {@link VoterRecovery}. */
+  /** Whether this router votes; a restarted router does so only after {@link VoterRecovery}. */
   public boolean isVoting() {
     return recovery.isVoting();
   }
 
-  /** Whether another router reported a later incarnation of this node. */
+  /** Whether another router reported a later incarnation of this router. */
   public boolean isSuperseded() {
     return superseded || membership.isSuperseded();
   }
@@ -185,10 +185,10 @@
   }
 
   /**
-   * Handles a voter's reply. Ignores a reply to an earlier incarnation of this node. A reply that
+   * Handles a voter's reply. Ignores a reply to an earlier incarnation of this router. A reply that
    * is late, belongs to another round or comes from an outdated incarnation of the voter is not
    * counted in the round. The incarnations of the sender and of the voters that it reports are
-   * recorded even then, and so is its report that this node is superseded.
+   * recorded even then, and so is its report that this router is superseded.
    */
   public void onConfirmReply(MemberRecord sender, PeerBody.ConfirmReply reply) {
     if (reply.askerIncarnation() != membership.self().incarnation()) {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationStore.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/ConfigurationStore.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 
 /**
- * The configuration that a node has in force. It is replaced only by a higher version, or by a
+ * The configuration that a router has in force. It is replaced only by a higher version, or by a
  * different document with the same version when a majority holds that one.
  */
 public final class ConfigurationStore {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VoterRecovery.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VoterRecovery.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 
 /**
- * Decides when a restarted voter may vote again. Nodes persist nothing across a restart. A new
+ * Decides when a restarted voter may vote again. Routers persist nothing across a restart. A new
  * incarnation must therefore first learn of every configuration that its earlier ones may have
  * helped to accept.
  *
@@ -45,7 +45,7 @@
     return voting;
   }
 
-  /** Makes this node a voter when the replies of the round suffice. */
+  /** Makes this router a voter when the replies of the round suffice. */
   void evaluate(
       ConfirmationRound round, VotingGroup group, ConfigurationId inForce, long nowNanos) {
     boolean early = nowNanos - startNanos < MINIMUM_RECOVERY_TIME.toNanos();
--- a/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VotingGroups.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/quorum/VotingGroups.java
@@ -29,7 +29,7 @@
     this.groupByZone = groupByZone;
   }
 
-  /** Derives the groups. Every node derives the same groups from the same document. */
+  /** Derives the groups. Every router derives the same groups from the same document. */
   public static VotingGroups of(ConfigurationDocument document) {
     Map<String, Integer> smallVotersByRegion = new HashMap<>();
     for (ZoneSpec zone : document.zones()) {
