--- a/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationDocument.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/config/ConfigurationDocument.java
@@ -33,7 +33,8 @@
   /**
    * A zone.
    *
-   * @param voters ids of the routers of the zone, which vote on configurations
+   * @param voters ids of all routers of the zone. They vote on configurations, and the connections
+   *     of back ends are divided among them
    */
   public record ZoneSpec(String name, String region, List<String> voters) {
     public ZoneSpec {
@@ -44,7 +45,8 @@
   /**
    * A division of data into shards.
    *
-   * @param generation must be increased whenever the set of shards or their shares change
+   * @param generation must be increased whenever the shards, their shares or their order change,
+   *     because the order determines the key ranges
    */
   public record LayoutSpec(String name, int generation, List<ShardSpec> shards) {
     public LayoutSpec {
--- a/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
+++ b/arrowarch-core/src/main/java/io/arrowarch/core/query/QueryExecution.java
@@ -182,6 +182,7 @@
         && reply.shard().equals(attempt.progress().shard().name());
   }
 
+  /** Handles a request that was not run. A reply without a reason counts as shed load. */
   private AttemptResult onNotRun(ShardProgress progress, BackendReply reply, long nowNanos) {
     NotRunReason reason = reply.reason().orElse(NotRunReason.SHED);
     if (reason == NotRunReason.SNAPSHOT_GONE && replan(nowNanos)) {
@@ -215,6 +216,10 @@
     return afterShed ? kindState.budget().tryWithdrawAfterShed() : kindState.budget().tryWithdraw();
   }
 
+  /**
+   * Retries a shard after a backoff: {@link #RETRY_BACKOFF}, doubled for each attempt so far, less
+   * a jitter of up to half.
+   */
   private void retryAfterBackoff(ShardProgress progress, long nowNanos) {
     long backoffNanos = RETRY_BACKOFF.toNanos() << progress.attempts();
     long delayNanos = dispatcher.jitter(backoffNanos);
@@ -230,8 +235,9 @@
   }
 
   /**
-   * Restarts the query with a new plan, on a snapshot that replicas still hold. Returns false if
-   * the query is finished, has no replan left or is past its deadline.
+   * Restarts the query with a new plan, on a snapshot that replicas last reported. They may have
+   * dropped it since; the number of replans is therefore limited. Returns false if the query is
+   * finished, has no replan left or is past its deadline.
    */
   private boolean replan(long nowNanos) {
     if (finished || replans >= MAXIMUM_REPLANS || nowNanos >= deadlineNanos) {
@@ -300,7 +306,8 @@
 
   /**
    * Ends the query with an error as soon as the lost shards make the kind's minimum coverage
-   * unreachable. Returns whether the query is finished.
+   * unreachable, or when no shard can answer, even if the minimum coverage is 0. Returns whether
+   * the query is finished.
    */
   private boolean failIfCoverageUnreachable() {
     if (finished) {
@@ -377,7 +384,11 @@
     sink.accept(outcome);
   }
 
-  /** Settles every shard before cancelling attempts, so that the room goes to other queries. */
+  /**
+   * Settles every shard, then cancels its attempts. In this order, the room freed by the cancelled
+   * attempts goes to other queries and not to shards of this one. Attempts without an outcome are
+   * recorded as possible runs.
+   */
   private void abandonPlan() {
     plan.shards().forEach(ShardProgress::onLost);
     for (ShardProgress progress : plan.shards()) {
